--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -68,32 +68,32 @@
 	Request struct {
 		// Stream says that its answer is a series of events.
 		Stream bool
-		// Left is how long its caller still waits.
-		Left time.Duration
+		// TimeLeft is how long its caller still waits.
+		TimeLeft time.Duration
 		// Objective is the time to the first event that is in time.
 		Objective time.Duration
-		// First is the predicted time to the first token from now, Idle the
+		// FirstToken is the predicted time to the first token from now, IdleFirstToken the
 		// same if all engines were idle; zero for plain services.
-		First, Idle time.Duration
-		// Displaces is the value of what the engines could do instead, beside
+		FirstToken, IdleFirstToken time.Duration
+		// DisplacedRatio is the value of what the engines could do instead, beside
 		// the value of the request.
-		Displaces float64
-		// Engines is how many engines' memory the request fills, and Spare the
+		DisplacedRatio float64
+		// EngineMemory is how many engines' memory the request fills, and SpareFraction the
 		// least part of all engines that doesn't read it.
-		Engines, Spare float64
-		// Price is by how much what the request displaces counts, by the part of
+		EngineMemory, SpareFraction float64
+		// DisplacedWeight is by how much what the request displaces counts, by the part of
 		// the engines that its workspace holds, and Over whether that is much
 		// more than an even part. Full is how scarce slots are, from 0 to 1.
-		Price float64
-		Over  bool
-		Full  float64
+		DisplacedWeight float64
+		OverShare       bool
+		SlotScarcity    float64
 	}
 
 	// Refusal is why a request isn't served, and after how long its caller may
 	// come back.
 	Refusal struct {
-		Why   Reason
-		After time.Duration
+		Reason     Reason
+		RetryAfter time.Duration
 	}
 
 	// Policy is which rules hold: an immutable value.
@@ -117,15 +117,15 @@
 // request's workspace holds, or not.
 func (p Policy) WithShares(on bool) Policy { p.shares = on; return p }
 
-// Judge reports whether a request is refused, and how.
-func (p Policy) Judge(r Request) (Refusal, bool) {
+// Decide reports whether a request is refused, and how.
+func (p Policy) Decide(r Request) (Refusal, bool) {
 	if !p.shares {
 		return p.judge(r)
 	}
 	no, refused := p.judge(r.shared())
-	if refused && r.Over {
+	if refused && r.OverShare {
 		if _, alone := p.judge(r); !alone {
-			no.Why = OverShare
+			no.Reason = OverShare
 		}
 	}
 	return no, refused
@@ -134,12 +134,12 @@
 // judge judges a request by itself.
 func (p Policy) judge(r Request) (Refusal, bool) {
 	switch {
-	case r.First > r.Left:
+	case r.FirstToken > r.TimeLeft:
 		return Refusal{NoTime, noTimeWait}, true
 	case p.late && r.queued():
-		return r.later(QueueTooLong, r.First), true
-	case p.displaced && r.Displaces > r.mostDisplaced():
-		return r.later(EnginesBusy, max(r.First, enginesWait)), true
+		return r.later(QueueTooLong, r.FirstToken), true
+	case p.displaced && r.DisplacedRatio > r.mostDisplaced():
+		return r.later(EnginesBusy, max(r.FirstToken, enginesWait)), true
 	}
 	return Refusal{}, false
 }
@@ -152,7 +152,7 @@
 // on each of them up); after what refusals cost 0.004 (0.004) are left. At 0.85
 // and 1.5 times the objective it is the same within 0.004.
 func (r Request) queued() bool {
-	return r.Stream && r.First > r.Objective && r.First > queueTimes*r.Idle
+	return r.Stream && r.FirstToken > r.Objective && r.FirstToken > queueTimes*r.IdleFirstToken
 }
 
 // mostDisplaced is how many times its own value a request may displace. Reading
@@ -164,16 +164,16 @@
 // as other engines are left for the rest: before 18 engines, where none are, it
 // cost 0.005 of worth (standard error 0.004, 15 pairs of days with equal seeds).
 func (r Request) mostDisplaced() float64 {
-	if r.First > r.Objective {
+	if r.FirstToken > r.Objective {
 		return mostDisplaced
 	}
-	return mostDisplaced * (1 + max(r.Engines-1, 0)*r.Spare)
+	return mostDisplaced * (1 + max(r.EngineMemory-1, 0)*r.SpareFraction)
 }
 
 // later refuses with a time to come back: when that is over which is in front,
 // as far as callers still come back then.
 func (r Request) later(why Reason, after time.Duration) Refusal {
-	return Refusal{why, min(after, time.Duration(returnPart*float64(r.Left)))}
+	return Refusal{why, min(after, time.Duration(returnPart*float64(r.TimeLeft)))}
 }
 
 // shared is the request with its workspace's part of the engines counted in:
@@ -185,9 +185,9 @@
 // streams, 0.71 and 0.72 without the rule, for 0.020 and 0.007 of the value that
 // all ask for (two deployments, three seeds each).
 func (r Request) shared() Request {
-	r.Displaces *= cmp.Or(r.Price, 1)
-	if r.Over {
-		r.Objective -= time.Duration(leftToOthers * r.Full * float64(r.Objective))
+	r.DisplacedRatio *= cmp.Or(r.DisplacedWeight, 1)
+	if r.OverShare {
+		r.Objective -= time.Duration(leftToOthers * r.SlotScarcity * float64(r.Objective))
 	}
 	return r
 }
--- a/core/emulate/emulate.go
+++ b/core/emulate/emulate.go
@@ -97,7 +97,7 @@
 
 // Judge is the rule by which callers that come back are judged like others.
 func Judge(p admission.Policy) Rule {
-	return func(r admission.Request, _ bool) (admission.Refusal, bool) { return p.Judge(r) }
+	return func(r admission.Request, _ bool) (admission.Refusal, bool) { return p.Decide(r) }
 }
 
 // LetBack is the rule by which callers that come back are let in, unless they
@@ -105,9 +105,9 @@
 func LetBack(p admission.Policy, times float64) Rule {
 	return func(r admission.Request, back bool) (admission.Refusal, bool) {
 		if back {
-			r.Displaces /= times
+			r.DisplacedRatio /= times
 		}
-		return p.Judge(r)
+		return p.Decide(r)
 	}
 }
 
@@ -125,7 +125,7 @@
 		f.run(servers, r.comes)
 		no, refused := f.offer(servers, r, s.Wait, judge)
 		if refused && !r.back {
-			r.back, r.comes = true, r.comes+no.After
+			r.back, r.comes = true, r.comes+no.RetryAfter
 			n, _ := slices.BinarySearchFunc(due, r.comes, func(o *request, at time.Duration) int { return cmp.Compare(o.comes, at) })
 			due = slices.Insert(due, n, r)
 		}
@@ -142,9 +142,9 @@
 		Workspace: schedule.WorkspaceOf(r.workspace),
 	})
 	no, refused := judge(admission.Request{
-		Stream: true, Left: wait - (r.comes - r.arrived), Objective: r.load.Objective,
-		First: p.First, Idle: p.Idle, Displaces: p.Displaces, Engines: p.Engines, Spare: p.Spare,
-		Price: p.Part.Price, Over: p.Part.Over, Full: p.Full,
+		Stream: true, TimeLeft: wait - (r.comes - r.arrived), Objective: r.load.Objective,
+		FirstToken: p.First, IdleFirstToken: p.Idle, DisplacedRatio: p.Displaces, EngineMemory: p.Engines, SpareFraction: p.Spare,
+		DisplacedWeight: p.Part.Price, OverShare: p.Part.Over, SlotScarcity: p.Full,
 	}, r.back)
 	if refused {
 		f.board.Ended(p.ID)
--- a/daemon/gateway/admit.go
+++ b/daemon/gateway/admit.go
@@ -15,25 +15,25 @@
 	if c.attempts > 0 || c.may {
 		return nil
 	}
-	no, refused := g.admission.Judge(admission.Request{
-		Stream:    c.route.Kind == site.Stream,
-		Left:      time.Until(c.deadline),
-		Objective: c.route.Objective,
-		First:     p.First,
-		Idle:      p.Idle,
-		Displaces: p.Displaces,
-		Engines:   p.Engines,
-		Spare:     p.Spare,
-		Price:     p.Part.Price,
-		Over:      p.Part.Over,
-		Full:      p.Full,
+	no, refused := g.admission.Decide(admission.Request{
+		Stream:          c.route.Kind == site.Stream,
+		TimeLeft:        time.Until(c.deadline),
+		Objective:       c.route.Objective,
+		FirstToken:      p.First,
+		IdleFirstToken:  p.Idle,
+		DisplacedRatio:  p.Displaces,
+		EngineMemory:    p.Engines,
+		SpareFraction:   p.Spare,
+		DisplacedWeight: p.Part.Price,
+		OverShare:       p.Part.Over,
+		SlotScarcity:    p.Full,
 	})
 	if !refused {
 		return nil
 	}
-	if no.Why == admission.OverShare {
+	if no.Reason == admission.OverShare {
 		g.holdToShare(c, p)
 	}
 	g.metrics.Count("gateway_postponed", 1, "route", c.route.Name)
-	return refuse(http.StatusServiceUnavailable, string(no.Why), no.After)
+	return refuse(http.StatusServiceUnavailable, string(no.Reason), no.RetryAfter)
 }
