--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -18,24 +18,24 @@
 	maxWorkspaces = 50_000
 )
 
-// Budgets hold one retry budget a workspace. Each request earns a part of a
+// RetryBudgets hold one retry budget a workspace. Each request earns a part of a
 // retry, so that retries stay a fixed part of the traffic, and a third of the
 // engines dying at once can't cause a storm. It is safe for use by many
 // goroutines.
-type Budgets struct {
+type RetryBudgets struct {
 	part float64
 
 	mu   sync.Mutex
 	left map[string]float64
 }
 
-// NewBudgets returns budgets in which a request earns part of a retry.
-func NewBudgets(part float64) *Budgets {
-	return &Budgets{part: part, left: map[string]float64{}}
+// NewRetryBudgets returns budgets in which a request earns part of a retry.
+func NewRetryBudgets(part float64) *RetryBudgets {
+	return &RetryBudgets{part: part, left: map[string]float64{}}
 }
 
 // Earn adds the part that one request earns.
-func (b *Budgets) Earn(workspace string) {
+func (b *RetryBudgets) Earn(workspace string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n, ok := b.left[workspace]
@@ -49,7 +49,7 @@
 }
 
 // Spend takes one retry, and reports whether there was one.
-func (b *Budgets) Spend(workspace string) bool {
+func (b *RetryBudgets) Spend(workspace string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.left[workspace] < 1 {
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -13,7 +13,7 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestBudget(t *testing.T) {
-	b := limit.NewBudgets(0.1)
+	b := limit.NewRetryBudgets(0.1)
 	spent := 0
 	for range 1000 {
 		b.Earn("till")
@@ -42,7 +42,7 @@
 // arrival and delay. It returns the part of the work that each got.
 func serve(shares map[string]float64, wants func(workspace string, second int) bool) map[string]float64 {
 	const rate, tokens, seconds = 10_000.0, 500.0, 120
-	s := limit.NewShares(start)
+	s := limit.NewFairQueue(start)
 	got, total := map[string]float64{}, 0.0
 	var queue []waiting
 	step := time.Duration(tokens / rate * float64(time.Second))
@@ -50,7 +50,7 @@
 		for _, w := range []string{"a", "b", "c"} {
 			if shares[w] > 0 && wants(w, int(now.Sub(start).Seconds())) {
 				queue = append(queue, waiting{w, now.Add(s.Delay(w, false, rate, now))})
-				s.Take(w, false, shares[w], tokens, rate, now)
+				s.Charge(w, false, shares[w], tokens, rate, now)
 			}
 		}
 		if len(queue) == 0 {
@@ -94,8 +94,8 @@
 
 func TestShortRequestsDoNotWaitBehindTheirOwnLongOnes(t *testing.T) {
 	const rate = 10_000.0
-	s := limit.NewShares(start)
-	s.Take("a", true, 0.5, 1_000_000, rate, start)
+	s := limit.NewFairQueue(start)
+	s.Charge("a", true, 0.5, 1_000_000, rate, start)
 	if d := s.Delay("a", false, rate, start); d != 0 {
 		t.Errorf("a short request waits %v behind its workspace's long one", d)
 	}
--- a/core/limit/share.go
+++ b/core/limit/share.go
@@ -11,7 +11,7 @@
 	burst = 2 * time.Second
 )
 
-// Shares keeps workspaces to their shares of one engine by fair queueing: a
+// FairQueue keeps workspaces to their shares of one engine by fair queueing: a
 // virtual time moves with the work that the engine can do for the workspaces
 // that want some, and each workspace has a mark that its own work moves, the
 // faster the smaller its share. A workspace whose mark is ahead of the virtual
@@ -20,14 +20,14 @@
 //
 // Nothing is refused and nothing is kept free: a workspace that is alone moves
 // the virtual time by itself. One goroutine owns it.
-type Shares struct {
+type FairQueue struct {
 	virtual float64
 	marks   map[string]mark
 	last    time.Time
 }
 
-// NewShares returns shares with no work yet.
-func NewShares(now time.Time) *Shares { return &Shares{marks: map[string]mark{}, last: now} }
+// NewFairQueue returns shares with no work yet.
+func NewFairQueue(now time.Time) *FairQueue { return &FairQueue{marks: map[string]mark{}, last: now} }
 
 // mark is how far a workspace's work reaches, in tokens divided by share. Short
 // requests have a mark of their own, which long ones do not move, so that they
@@ -40,7 +40,7 @@
 
 // Delay returns how long a request of the workspace should wait behind those
 // of others that arrive now. The rate is the engine's, in tokens a second.
-func (s *Shares) Delay(workspace string, long bool, rate float64, now time.Time) time.Duration {
+func (s *FairQueue) Delay(workspace string, long bool, rate float64, now time.Time) time.Duration {
 	s.advance(rate, now)
 	m, ok := s.marks[workspace]
 	if !ok {
@@ -54,8 +54,8 @@
 	return max(0, ahead-burst)
 }
 
-// Take records work for a workspace, in tokens.
-func (s *Shares) Take(workspace string, long bool, share, tokens, rate float64, now time.Time) {
+// Charge records work for a workspace, in tokens.
+func (s *FairQueue) Charge(workspace string, long bool, share, tokens, rate float64, now time.Time) {
 	s.advance(rate, now)
 	m := s.marks[workspace]
 	m.share = max(share, leastShare)
@@ -68,7 +68,7 @@
 
 // advance moves the virtual time on, mark by mark, since each mark that it
 // reaches leaves more of the engine to the others.
-func (s *Shares) advance(rate float64, now time.Time) {
+func (s *FairQueue) advance(rate float64, now time.Time) {
 	left := max(0, now.Sub(s.last).Seconds()*rate)
 	s.last = now
 	for len(s.marks) > 0 {
@@ -85,7 +85,7 @@
 }
 
 // active returns the sum of the shares of workspaces that have work.
-func (s *Shares) active() float64 {
+func (s *FairQueue) active() float64 {
 	sum := 0.0
 	for _, m := range s.marks {
 		sum += m.share
@@ -93,7 +93,7 @@
 	return sum
 }
 
-func (s *Shares) nearest() (float64, string) {
+func (s *FairQueue) nearest() (float64, string) {
 	best, name := 0.0, ""
 	for k, m := range s.marks {
 		if name == "" || m.all < best {
--- a/core/limit/window.go
+++ b/core/limit/window.go
@@ -11,10 +11,10 @@
 const parts = 20
 
 type (
-	// Window bounds retries in any span of time by the requests in it: a
+	// RetryWindow bounds retries in any span of time by the requests in it: a
 	// share of them, and a fixed number beside. It is safe for use by many
 	// goroutines.
-	Window struct {
+	RetryWindow struct {
 		span  time.Duration
 		share float64
 		slack func() float64
@@ -32,14 +32,14 @@
 	}
 )
 
-// NewWindow returns a budget: within any span, retries to a service stay below
+// NewRetryWindow returns a budget: within any span, retries to a service stay below
 // share of its requests and slack, this host's part of what all may add.
-func NewWindow(span time.Duration, share float64, slack func() float64) *Window {
-	return &Window{span: span, share: share, slack: slack, start: time.Now(), services: map[string]*counts{}}
+func NewRetryWindow(span time.Duration, share float64, slack func() float64) *RetryWindow {
+	return &RetryWindow{span: span, share: share, slack: slack, start: time.Now(), services: map[string]*counts{}}
 }
 
-// Arrived counts a request for the service that it most likely goes to.
-func (w *Window) Arrived(targets []site.Target, now time.Time) {
+// AddRequest counts a request for the service that it most likely goes to.
+func (w *RetryWindow) AddRequest(targets []site.Target, now time.Time) {
 	if len(targets) == 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 
 // Spend takes one retry of a service's budget, and reports whether there was
 // one left.
-func (w *Window) Spend(service string, now time.Time) bool {
+func (w *RetryWindow) Spend(service string, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c, i := w.part(service, now)
@@ -76,7 +76,7 @@
 	return true
 }
 
-func (w *Window) part(service string, now time.Time) (*counts, int) {
+func (w *RetryWindow) part(service string, now time.Time) (*counts, int) {
 	c := w.services[service]
 	if c == nil {
 		c = &counts{}
--- a/core/route/loadtracker.go
+++ b/core/route/loadtracker.go
@@ -48,7 +48,7 @@
 		foreign float64 // pending tokens that the report has and placed lacks
 		rate    Rate
 		blocks  *Index
-		shares  *limit.Shares
+		shares  *limit.FairQueue
 		drained time.Time
 		arrived float64 // prompt tokens placed since the last report was taken
 		// spared is what of them, and of the prompts that the last report counts
@@ -65,7 +65,7 @@
 		placed:  newPlacements(),
 		rate:    NewRate(),
 		blocks:  NewIndex(),
-		shares:  limit.NewShares(now),
+		shares:  limit.NewFairQueue(now),
 		drained: now,
 	}
 }
@@ -149,7 +149,7 @@
 	})
 	l.arrived += float64(p.Tokens)
 	l.spared += float64(p.Tokens - fresh)
-	l.shares.Take(p.Workspace, p.Long(), p.Share, float64(fresh+p.MaxTokens), rate, now)
+	l.shares.Charge(p.Workspace, p.Long(), p.Share, float64(fresh+p.MaxTokens), rate, now)
 	return behind
 }
 
--- a/daemon/calls/calls.go
+++ b/daemon/calls/calls.go
@@ -54,7 +54,7 @@
 		loop     *control.Loop
 		web      *web.Client
 		once     *Once
-		budgets  *limit.Budgets
+		budgets  *limit.RetryBudgets
 		attempts int
 	}
 
@@ -63,7 +63,7 @@
 )
 
 // WithBudgets sets the retry budgets.
-func WithBudgets(b *limit.Budgets) Option { return func(c *Caller) { c.budgets = b } }
+func WithBudgets(b *limit.RetryBudgets) Option { return func(c *Caller) { c.budgets = b } }
 
 // WithAttempts bounds the attempts at one call.
 func WithAttempts(n int) Option { return func(c *Caller) { c.attempts = n } }
@@ -71,7 +71,7 @@
 // New returns a caller.
 func New(l *control.Loop, w *web.Client, o *Once, os ...Option) *Caller {
 	const defaultPart, defaultAttempts = 0.1, 3
-	c := &Caller{loop: l, web: w, once: o, budgets: limit.NewBudgets(defaultPart), attempts: defaultAttempts}
+	c := &Caller{loop: l, web: w, once: o, budgets: limit.NewRetryBudgets(defaultPart), attempts: defaultAttempts}
 	for _, o := range os {
 		o(c)
 	}
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -75,7 +75,7 @@
 		loop       *control.Loop
 		peers      *peers.Client
 		engines    *engine.Client
-		budgets    *limit.Budgets
+		budgets    *limit.RetryBudgets
 		metrics    *telemetry.Metrics
 		explain    *Ring
 		background func(func())
@@ -110,7 +110,7 @@
 func WithAttempts(n int) Option { return func(d *Dispatcher) { d.attempts = n } }
 
 // WithBudgets sets the retry budgets.
-func WithBudgets(b *limit.Budgets) Option { return func(d *Dispatcher) { d.budgets = b } }
+func WithBudgets(b *limit.RetryBudgets) Option { return func(d *Dispatcher) { d.budgets = b } }
 
 // WithMetrics sets where the dispatcher counts.
 func WithMetrics(m *telemetry.Metrics) Option { return func(d *Dispatcher) { d.metrics = m } }
@@ -127,7 +127,7 @@
 		loop:       l,
 		peers:      p,
 		engines:    e,
-		budgets:    limit.NewBudgets(defaultRetryPart),
+		budgets:    limit.NewRetryBudgets(defaultRetryPart),
 		metrics:    telemetry.NewMetrics(),
 		explain:    NewRing(),
 		background: func(f func()) { go f() },
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -142,7 +142,7 @@
 	e.watcher.SetClock(e.clock)
 	e.relays, e.relay = relay.NewClient(e.watcher, e.log), relay.NewServer(e.watcher)
 	e.grants = grants.New(s.Host, s.Hall, e.notices, n.Ask, e.clock.Now)
-	budget := limit.NewWindow(s.Bounds.Retries.Span, s.Bounds.Retries.Share*retryPart, e.retrySlack)
+	budget := limit.NewRetryWindow(s.Bounds.Retries.Span, s.Bounds.Retries.Share*retryPart, e.retrySlack)
 	e.gateway = gateway.New(p.Dialect, e.state, e.pool, e.board, budget, e.log, e.metrics,
 		gateway.WithHall(s.Hall),
 		gateway.WithClock(e.clock),
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -74,7 +74,7 @@
 		admission      admission.Policy
 		pool           *upstream.Pool
 		board          *schedule.Board
-		budget         *limit.Window
+		budget         *limit.RetryWindow
 		log            *decision.Log
 		metrics        *telemetry.Metrics
 		hall           string
@@ -158,7 +158,7 @@
 func WithMemory(k *memory.Keeper) Option { return func(g *Gateway) { g.memory = k } }
 
 // New returns a gateway.
-func New(d Dialect, state func() State, pool *upstream.Pool, board *schedule.Board, budget *limit.Window,
+func New(d Dialect, state func() State, pool *upstream.Pool, board *schedule.Board, budget *limit.RetryWindow,
 	log *decision.Log, metrics *telemetry.Metrics, os ...Option,
 ) *Gateway {
 	always := func() bool { return true }
@@ -223,7 +223,7 @@
 		return
 	}
 	g.boundWrites(w, c.deadline)
-	g.budget.Arrived(c.route.Targets, now)
+	g.budget.AddRequest(c.route.Targets, now)
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
 	g.run(ctx, w, c)
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -170,7 +170,7 @@
 		site.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 10})
 	l := decision.New(io.Discard)
 	t.Cleanup(l.Close)
-	budget := limit.NewWindow(10*time.Second, 0.2, func() float64 { return 10 })
+	budget := limit.NewRetryWindow(10*time.Second, 0.2, func() float64 { return 10 })
 	f.board, f.metrics = schedule.NewBoard(1), telemetry.NewMetrics()
 	os := append([]gateway.Option{
 		gateway.WithProof(gateway.Proof{
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -122,7 +122,7 @@
 	n.streams = web.New(web.WithAlive(engineQuiet, polled.Answers))
 	platform := tables.New(n.control, s.Platform)
 	log := changes.New(platform)
-	budgets := limit.NewBudgets(s.Limits.RetryPart)
+	budgets := limit.NewRetryBudgets(s.Limits.RetryPart)
 	ring := dispatch.NewRing()
 	self := member.Member{
 		Addr: n.Peers(), Hall: s.Hall, Incarnation: uint64(time.Now().UnixNano()),
