--- a/core/grant/grant.go
+++ b/core/grant/grant.go
@@ -5,12 +5,12 @@
 // room for one request each, 295 hosts may send 299 requests in 4 s. So one host, the
 // holder, has the only bucket of a server, and others ask it before each request.
 // Who holds is no role and not agreed: each host works it out from the list of hosts
-// that the platform has, by [Order], leaving out those that don't answer it. Nobody
+// that the platform has, by [RankHolders], leaving out those that don't answer it. Nobody
 // is asked by whom a server can't be reached: hosts of the server's own data hall come
 // first, so a hall that is cut off goes on using its servers within their limits.
 //
 // Hosts may disagree for a while on who holds, and each of two holders grants the
-// whole rate. A [Ledger] begins empty, so whoever takes over adds nothing at once.
+// whole rate. A [Buckets] begins empty, so whoever takes over adds nothing at once.
 //
 // # Usage
 //
@@ -44,20 +44,20 @@
 		Name, Hall string
 	}
 
-	// Ledger has the buckets of the servers that this host holds. It is safe for use
+	// Buckets has the buckets of the servers that this host holds. It is safe for use
 	// by many goroutines.
-	Ledger struct {
+	Buckets struct {
 		mu      sync.Mutex
 		buckets map[string]*rate.Limiter
 	}
 )
 
-// NewLedger returns a ledger without buckets.
-func NewLedger() *Ledger { return &Ledger{buckets: map[string]*rate.Limiter{}} }
+// NewBuckets returns a ledger without buckets.
+func NewBuckets() *Buckets { return &Buckets{buckets: map[string]*rate.Limiter{}} }
 
-// Order returns the names of the hosts in the order in which they are to hold a
+// RankHolders returns the names of the hosts in the order in which they are to hold a
 // server's bucket: those of its hall first.
-func Order(server, hall string, hosts []Host) []string {
+func RankHolders(server, hall string, hosts []Host) []string {
 	var near, far []string
 	for _, h := range hosts {
 		if h.Hall == hall {
@@ -69,13 +69,13 @@
 	return append(route.Rank(server, near), route.Rank(server, far)...)
 }
 
-// Rate is what is granted of a limit, in requests a second.
-func Rate(limit float64) float64 { return max(limit, leastRate) }
+// GrantRate is what is granted of a limit, in requests a second.
+func GrantRate(limit float64) float64 { return max(limit, leastRate) }
 
-// Pause is for how long a server takes nothing more once it has got a request; 0 where
+// RequestInterval is for how long a server takes nothing more once it has got a request; 0 where
 // requests that nobody asked for may be left.
-func Pause(limit float64) time.Duration {
-	p := time.Duration(float64(time.Second) / Rate(limit))
+func RequestInterval(limit float64) time.Duration {
+	p := time.Duration(float64(time.Second) / GrantRate(limit))
 	if p < burstTime {
 		return 0
 	}
@@ -84,10 +84,10 @@
 
 // Take takes one request of a server that names a limit, in requests a second. If there
 // is none, it reports false and how long it takes until there is.
-func (l *Ledger) Take(server string, limit float64, now time.Duration) (bool, time.Duration) {
+func (l *Buckets) Take(server string, limit float64, now time.Duration) (bool, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r, at := rate.Limit(Rate(limit)), time.Unix(0, int64(now))
+	r, at := rate.Limit(GrantRate(limit)), time.Unix(0, int64(now))
 	burst := max(int(float64(r)*burstTime.Seconds()), 1)
 	b := l.buckets[server]
 	if b == nil {
@@ -105,8 +105,8 @@
 	return false, time.Duration((1 - b.TokensAt(at)) / float64(r) * float64(time.Second))
 }
 
-// Keep drops the buckets of servers that aren't listed any more.
-func (l *Ledger) Keep(listed func(server string) bool) {
+// Retain drops the buckets of servers that aren't listed any more.
+func (l *Buckets) Retain(listed func(server string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for server := range l.buckets {
@@ -117,7 +117,7 @@
 }
 
 // Drop forgets the bucket of a server that another host holds.
-func (l *Ledger) Drop(server string) {
+func (l *Buckets) Drop(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.buckets, server)
--- a/core/grant/grant_test.go
+++ b/core/grant/grant_test.go
@@ -24,7 +24,7 @@
 		"none":               {limit: 0},
 		"none, a second one": {limit: 0, first: 6 * time.Second, overlap: 2 * time.Second},
 	} {
-		ledgers := []*Ledger{NewLedger(), NewLedger()}
+		ledgers := []*Buckets{NewBuckets(), NewBuckets()}
 		var granted []time.Duration
 		for now := time.Duration(0); now < play; now += step {
 			for n, l := range ledgers {
@@ -58,7 +58,7 @@
 }
 
 func TestTakeTellsHowLongToWait(t *testing.T) {
-	l := NewLedger()
+	l := NewBuckets()
 	if ok, wait := l.Take("i-1", 2, 0); ok || wait != 500*time.Millisecond {
 		t.Errorf("a new ledger: %v, %v", ok, wait)
 	}
@@ -80,7 +80,7 @@
 	held := map[string]int{}
 	for n := range 300 {
 		server := fmt.Sprintf("i-%d", n)
-		order := Order(server, "hall-1", hosts)
+		order := RankHolders(server, "hall-1", hosts)
 		if len(order) != len(hosts) {
 			t.Fatalf("%d hosts in the order", len(order))
 		}
@@ -89,7 +89,7 @@
 			t.Fatalf("%s holds a server of hall-1 first", order[0])
 		}
 		held[order[0]]++
-		rest := Order(server, "hall-1", hosts[2:])
+		rest := RankHolders(server, "hall-1", hosts[2:])
 		if order[0] != "host-1" && rest[0] != order[0] {
 			t.Errorf("%s: held by %s, and by %s after host-1 has gone", server, order[0], rest[0])
 		}
--- a/core/grant/message.go
+++ b/core/grant/message.go
@@ -7,8 +7,8 @@
 )
 
 type (
-	// Question asks the holder of a server's bucket for one request.
-	Question struct {
+	// Request asks the holder of a server's bucket for one request.
+	Request struct {
 		ID uint32
 		// Server is the ID of its start, and Hall where it is.
 		Server, Hall string
--- a/core/grant/reach.go
+++ b/core/grant/reach.go
@@ -11,9 +11,9 @@
 )
 
 type (
-	// Reach is which hosts leave this one's questions unanswered. It is for use by one
+	// Reachability is which hosts leave this one's questions unanswered. It is for use by one
 	// goroutine.
-	Reach struct {
+	Reachability struct {
 		asked map[string]unanswered
 	}
 
@@ -23,11 +23,11 @@
 	}
 )
 
-// NewReach returns a reach of which nothing is known: all hosts count as there.
-func NewReach() *Reach { return &Reach{asked: map[string]unanswered{}} }
+// NewReachability returns a reach of which nothing is known: all hosts count as there.
+func NewReachability() *Reachability { return &Reachability{asked: map[string]unanswered{}} }
 
-// Asked notes a question to a host.
-func (r *Reach) Asked(host string, now time.Duration) {
+// RequestSent notes a question to a host.
+func (r *Reachability) RequestSent(host string, now time.Duration) {
 	u, known := r.asked[host]
 	if !known {
 		u.first = now
@@ -37,24 +37,24 @@
 	r.asked[host] = u
 }
 
-// Answered notes that a host has said something.
-func (r *Reach) Answered(host string) { delete(r.asked, host) }
+// ReplyReceived notes that a host has said something.
+func (r *Reachability) ReplyReceived(host string) { delete(r.asked, host) }
 
-// Silent reports whether a host has left questions unanswered for too long.
-func (r *Reach) Silent(host string, now time.Duration) bool {
+// Unresponsive reports whether a host has left questions unanswered for too long.
+func (r *Reachability) Unresponsive(host string, now time.Duration) bool {
 	u := r.asked[host]
 	return u.count >= silentAsks && now-u.first >= silence
 }
 
-// Since is how long ago a host was asked last that has not answered since, and whether
+// SinceUnanswered is how long ago a host was asked last that has not answered since, and whether
 // there is such a question.
-func (r *Reach) Since(host string, now time.Duration) (time.Duration, bool) {
+func (r *Reachability) SinceUnanswered(host string, now time.Duration) (time.Duration, bool) {
 	u, known := r.asked[host]
 	return now - u.since, known
 }
 
-// Keep drops all hosts but those that are known.
-func (r *Reach) Keep(known func(host string) bool) {
+// Retain drops all hosts but those that are known.
+func (r *Reachability) Retain(known func(host string) bool) {
 	for h := range r.asked {
 		if !known(h) {
 			delete(r.asked, h)
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -183,7 +183,7 @@
 		clock:  boottime.New(),
 		shares: newShares(),
 	}
-	alone := grant.NewLedger()
+	alone := grant.NewBuckets()
 	g.grant = func(_ context.Context, s backend.Server) (bool, time.Duration) {
 		return alone.Take(s.ID, g.notices.Limit(s.ID).Rate, g.clock.Now())
 	}
--- a/daemon/gateway/notices.go
+++ b/daemon/gateway/notices.go
@@ -92,7 +92,7 @@
 // limited, it takes no more for a while, and it need not be asked for.
 func (g *Gateway) HearPlaced(server string) {
 	if l := g.notices.Limit(server); l.Named {
-		g.notices.Close(server, g.clock.Now()+grant.Pause(l.Rate))
+		g.notices.Close(server, g.clock.Now()+grant.RequestInterval(l.Rate))
 	}
 }
 
@@ -110,7 +110,7 @@
 	}
 	ok, wait := g.grant(ctx, server)
 	if ok {
-		c.granted, wait = p.Lead, grant.Pause(l.Rate)
+		c.granted, wait = p.Lead, grant.RequestInterval(l.Rate)
 	}
 	g.notices.Close(p.Lead, g.clock.Now()+wait)
 	g.metrics.Count("gateway_grants", 1, "granted", strconv.FormatBool(ok))
@@ -133,7 +133,7 @@
 	}
 	var all float64
 	for id := range limited {
-		all += grant.Rate(g.notices.Limit(id).Rate)
+		all += grant.GrantRate(g.notices.Limit(id).Rate)
 	}
 	return refuse(http.StatusServiceUnavailable, "server_limits", wait+time.Duration(float64(time.Second)/all))
 }
--- a/daemon/grants/grants.go
+++ b/daemon/grants/grants.go
@@ -51,28 +51,28 @@
 	Keeper struct {
 		self    grant.Host
 		notices *notice.Book
-		send    func(to netip.AddrPort, q grant.Question)
+		send    func(to netip.AddrPort, q grant.Request)
 		now     func() time.Duration
-		ledger  *grant.Ledger
+		ledger  *grant.Buckets
 
 		mu      sync.Mutex
 		hosts   []Host
 		byName  map[string]Host
 		orders  map[string][]string // by server, of these hosts
-		reach   *grant.Reach
+		reach   *grant.Reachability
 		next    uint32
 		waiting map[uint32]chan grant.Reply
 	}
 )
 
 // New returns a keeper that knows no other hosts.
-func New(name, hall string, b *notice.Book, send func(to netip.AddrPort, q grant.Question), now func() time.Duration) *Keeper {
+func New(name, hall string, b *notice.Book, send func(to netip.AddrPort, q grant.Request), now func() time.Duration) *Keeper {
 	return &Keeper{
 		self: grant.Host{Name: name, Hall: hall}, notices: b, send: send, now: now,
-		ledger:  grant.NewLedger(),
+		ledger:  grant.NewBuckets(),
 		byName:  map[string]Host{},
 		orders:  map[string][]string{},
-		reach:   grant.NewReach(),
+		reach:   grant.NewReachability(),
 		waiting: map[uint32]chan grant.Reply{},
 	}
 }
@@ -90,7 +90,7 @@
 	for _, h := range hosts {
 		k.byName[h.Name] = h
 	}
-	k.reach.Keep(func(name string) bool { _, ok := k.byName[name]; return ok })
+	k.reach.Retain(func(name string) bool { _, ok := k.byName[name]; return ok })
 }
 
 // Take takes one request of a server. If it may not have one now, Take reports false
@@ -107,7 +107,7 @@
 	k.ledger.Drop(s.ID)
 	// The next one knows whether the first has gone, sooner than hosts that ask seldom.
 	for _, h := range hosts {
-		if r, ok := k.ask(ctx, h, grant.Question{Server: s.ID, Hall: s.Hall, Limit: l}); ok {
+		if r, ok := k.ask(ctx, h, grant.Request{Server: s.ID, Hall: s.Hall, Limit: l}); ok {
 			k.notices.Hear(s.ID, r.Limit, k.now())
 			return r.Granted, r.Wait
 		}
@@ -117,7 +117,7 @@
 
 // Answer answers a question of another host. One that isn't known yet is granted
 // nothing, but sees that this host is there.
-func (k *Keeper) Answer(host uint32, q grant.Question) grant.Reply {
+func (k *Keeper) Answer(host uint32, q grant.Request) grant.Reply {
 	r := grant.Reply{ID: q.ID, Server: q.Server, Wait: otherWait}
 	if !k.heard(host) {
 		r.Limit = k.notices.Limit(q.Server)
@@ -142,7 +142,7 @@
 
 // Keep drops what is kept of servers that aren't listed any more.
 func (k *Keeper) Keep(listed func(server string) bool) {
-	k.ledger.Keep(listed)
+	k.ledger.Retain(listed)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for server := range k.orders {
@@ -174,7 +174,7 @@
 	if i < 0 {
 		return false
 	}
-	k.reach.Answered(k.hosts[i].Name)
+	k.reach.ReplyReceived(k.hosts[i].Name)
 	return true
 }
 
@@ -189,7 +189,7 @@
 		if name == k.self.Name || len(holders) == 2 {
 			break
 		}
-		if k.reach.Silent(name, now) {
+		if k.reach.Unresponsive(name, now) {
 			silent = append(silent, k.byName[name])
 		} else {
 			holders = append(holders, k.byName[name])
@@ -212,18 +212,18 @@
 	for _, h := range k.hosts {
 		hosts = append(hosts, grant.Host{Name: h.Name, Hall: h.Hall})
 	}
-	k.orders[server] = grant.Order(server, hall, hosts)
+	k.orders[server] = grant.RankHolders(server, hall, hosts)
 	return k.orders[server]
 }
 
 // ask asks a host, and reports whether it has answered.
-func (k *Keeper) ask(ctx context.Context, h Host, q grant.Question) (grant.Reply, bool) {
+func (k *Keeper) ask(ctx context.Context, h Host, q grant.Request) (grant.Reply, bool) {
 	c := make(chan grant.Reply, 1)
 	k.mu.Lock()
 	k.next++
 	q.ID = k.next
 	k.waiting[q.ID] = c
-	k.reach.Asked(h.Name, k.now())
+	k.reach.RequestSent(h.Name, k.now())
 	k.mu.Unlock()
 	defer func() {
 		k.mu.Lock()
@@ -246,13 +246,13 @@
 func (k *Keeper) ping(h Host) {
 	now := k.now()
 	k.mu.Lock()
-	ago, open := k.reach.Since(h.Name, now)
+	ago, open := k.reach.SinceUnanswered(h.Name, now)
 	again := !open || ago >= pingPause
 	if again {
-		k.reach.Asked(h.Name, now)
+		k.reach.RequestSent(h.Name, now)
 	}
 	k.mu.Unlock()
 	if again {
-		k.send(h.Addr, grant.Question{Ping: true})
+		k.send(h.Addr, grant.Request{Ping: true})
 	}
 }
--- a/daemon/grants/grants_test.go
+++ b/daemon/grants/grants_test.go
@@ -70,7 +70,7 @@
 		}}
 		b := notice.NewBook()
 		b.Hear("i-1", notice.Limit{Version: 1, Named: true, Rate: limit}, 0)
-		h.keeper = New(h.Name, h.Hall, b, func(to netip.AddrPort, q grant.Question) { f.carry(h, to, q) }, f.now)
+		h.keeper = New(h.Name, h.Hall, b, func(to netip.AddrPort, q grant.Request) { f.carry(h, to, q) }, f.now)
 		f.hosts = append(f.hosts, h)
 	}
 	for _, h := range f.hosts {
@@ -97,7 +97,7 @@
 	return !f.down(a, now) && !f.down(b, now) && !f.cut(a, b, now) && rand.Float64() >= f.loss
 }
 
-func (f *fleet) carry(from *host, to netip.AddrPort, q grant.Question) {
+func (f *fleet) carry(from *host, to netip.AddrPort, q grant.Request) {
 	i := slices.IndexFunc(f.hosts, func(h *host) bool { return h.Addr == to })
 	f.carried.Go(func() {
 		if pause.For(context.Background(), way) != nil || !f.passes(from, f.hosts[i]) {
@@ -160,7 +160,7 @@
 		for _, h := range f.hosts {
 			hosts = append(hosts, grant.Host{Name: h.Name, Hall: h.Hall})
 		}
-		name := grant.Order("i-1", "hall-0", hosts)[0]
+		name := grant.RankHolders("i-1", "hall-0", hosts)[0]
 		return f.hosts[slices.IndexFunc(f.hosts, func(h *host) bool { return h.Name == name })]
 	}
 	during := func(now time.Duration) bool { return now >= faultAt && now < faultEnd }
--- a/daemon/memory/memory_test.go
+++ b/daemon/memory/memory_test.go
@@ -135,7 +135,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := decision.New(io.Discard)
 		defer l.Close()
-		s, ledger, begun := &server{}, grant.NewLedger(), time.Now()
+		s, ledger, begun := &server{}, grant.NewBuckets(), time.Now()
 		var limited atomic.Bool
 		k := keeper(map[string]*server{"a": s}, l, memory.WithGate(func(context.Context, string) (bool, time.Duration) {
 			if !limited.Load() {
--- a/daemon/news/news.go
+++ b/daemon/news/news.go
@@ -138,7 +138,7 @@
 		heard:    map[netip.AddrPort]time.Duration{},
 		suspects: func(uint32, []quarantine.Record) {},
 		notices: Notices{
-			Ask:   func(uint32, grant.Question) grant.Reply { return grant.Reply{} },
+			Ask:   func(uint32, grant.Request) grant.Reply { return grant.Reply{} },
 			Reply: func(uint32, grant.Reply) {},
 			Limit: func(uint32, string, notice.Limit) {},
 
--- a/daemon/news/notice.go
+++ b/daemon/news/notice.go
@@ -16,7 +16,7 @@
 // the number of the host that does.
 type Notices struct {
 	// Ask answers a question.
-	Ask func(host uint32, q grant.Question) grant.Reply
+	Ask func(host uint32, q grant.Request) grant.Reply
 	// Reply takes in an answer.
 	Reply func(host uint32, r grant.Reply)
 	// Limit takes in that a server names another limit.
@@ -31,7 +31,7 @@
 func (n *News) OnNotices(t Notices) { n.notices = t }
 
 // Ask asks one host for a request to a limited server.
-func (n *News) Ask(to netip.AddrPort, q grant.Question) {
+func (n *News) Ask(to netip.AddrPort, q grant.Request) {
 	n.sendTo(to, message{Kind: asked, Number: q.ID, Lead: q.Server, Hall: q.Hall, Ping: q.Ping}.withLimit(q.Limit))
 }
 
@@ -54,7 +54,7 @@
 	}
 	switch m.Kind {
 	case asked:
-		r := n.notices.Ask(m.Host, grant.Question{ID: m.Number, Server: m.Lead, Hall: m.Hall, Limit: l, Ping: m.Ping})
+		r := n.notices.Ask(m.Host, grant.Request{ID: m.Number, Server: m.Lead, Hall: m.Hall, Limit: l, Ping: m.Ping})
 		n.sendTo(from, message{
 			Kind: granted, Number: r.ID, Lead: r.Server, Granted: r.Granted, WaitMS: (r.Wait + time.Millisecond - 1).Milliseconds(),
 		}.withLimit(r.Limit))
