--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// short is a stream for a caller at a counter, long a prompt of 180,000 tokens.
+// short is an interactive stream with a short prompt, long a stream with a prompt
+// of 180,000 tokens, and plain a request to a plain service.
 var (
 	short = admission.Request{
 		Stream: true, TimeLeft: 10 * time.Second, Objective: 300 * ms, FirstToken: 120 * ms, IdleFirstToken: 60 * ms,
@@ -20,14 +21,14 @@
 	plain = admission.Request{TimeLeft: time.Second, Objective: 150 * ms}
 )
 
-func TestJudge(t *testing.T) {
+func TestDecide(t *testing.T) {
 	with := func(r admission.Request, change func(*admission.Request)) admission.Request {
 		change(&r)
 		return r
 	}
 	for name, tc := range map[string]struct {
 		request admission.Request
-		why     admission.Reason // empty for served
+		reason  admission.Reason // empty if served
 		after   time.Duration
 	}{
 		"short, in time": {short, "", 0},
@@ -40,65 +41,65 @@
 		"long, behind a queue": {
 			with(long, func(r *admission.Request) { r.FirstToken = 5 * time.Second }), admission.QueueTooLong, 3 * time.Second,
 		},
-		"long, late by itself": {
+		"long, late even on idle engines": {
 			with(long, func(r *admission.Request) { r.FirstToken, r.IdleFirstToken = 5*time.Second, 4*time.Second }), "", 0,
 		},
-		// A caller that comes back when the queue has gone is served late.
-		"short, back, no queue": {with(short, func(r *admission.Request) { r.TimeLeft = 9 * time.Second }), "", 0},
-		"short, back, a queue": {
+		// A retry after the queue has drained is served.
+		"short, retry, no queue": {with(short, func(r *admission.Request) { r.TimeLeft = 9 * time.Second }), "", 0},
+		"short, retry, behind a queue": {
 			with(short, func(r *admission.Request) { r.TimeLeft, r.FirstToken = 9*time.Second, 500*ms }), admission.QueueTooLong, 500 * ms,
 		},
-		"no time left": {with(short, func(r *admission.Request) { r.TimeLeft = 100 * ms }), admission.NoTime, 150 * ms},
-		"caller leaves": {
+		"short, not before the deadline": {with(short, func(r *admission.Request) { r.TimeLeft = 100 * ms }), admission.NoTime, 150 * ms},
+		"short, retry time capped": {
 			with(short, func(r *admission.Request) { r.FirstToken = 3 * time.Second }), admission.QueueTooLong, 2 * time.Second,
 		},
-		"displaces more": {with(long, func(r *admission.Request) { r.DisplacedRatio = 1.1 }), admission.EnginesBusy, 2 * time.Second},
-		"of two engines' memory, displaces more": {
+		"displaces more than its value": {with(long, func(r *admission.Request) { r.DisplacedRatio = 1.1 }), admission.EnginesBusy, 2 * time.Second},
+		"memory of two engines, displaces more": {
 			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory, r.SpareFraction = 2.1, 2, 1 }), admission.EnginesBusy, 2 * time.Second,
 		},
-		"of two engines' memory, displaces less": {with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory, r.SpareFraction = 1.9, 2, 1 }), "", 0},
-		"of two engines' memory, none to spare": {
+		"memory of two engines, displaces less": {with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory, r.SpareFraction = 1.9, 2, 1 }), "", 0},
+		"memory of two engines, no other engines": {
 			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory = 1.1, 2 }), admission.EnginesBusy, 2 * time.Second,
 		},
-		"of half of one's": {
+		"memory of half an engine": {
 			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory, r.SpareFraction = 1.1, 0.5, 1 }), admission.EnginesBusy, 2 * time.Second,
 		},
-		"of two engines' memory, late": {
+		"memory of two engines, late": {
 			with(long, func(r *admission.Request) {
 				r.DisplacedRatio, r.EngineMemory, r.FirstToken, r.IdleFirstToken = 1.1, 2, 4*time.Second, 3*time.Second
 			}),
 			admission.EnginesBusy, 3 * time.Second,
 		},
-		"displaces less": {with(long, func(r *admission.Request) { r.DisplacedRatio = 0.9 }), "", 0},
+		"displaces less than its value": {with(long, func(r *admission.Request) { r.DisplacedRatio = 0.9 }), "", 0},
 		"displaces less, over its share": {
 			with(long, func(r *admission.Request) { r.DisplacedRatio, r.DisplacedWeight, r.OverShare = 0.9, 1.3, true }), admission.OverShare, 2 * time.Second,
 		},
 		"displaces more, over its share": {
 			with(long, func(r *admission.Request) { r.DisplacedRatio, r.DisplacedWeight, r.OverShare = 1.1, 1.3, true }), admission.EnginesBusy, 2 * time.Second,
 		},
-		"displaces less, above the mean only": {
+		"displaces less, raised weight, not over its share": {
 			with(long, func(r *admission.Request) { r.DisplacedRatio, r.DisplacedWeight = 0.9, 1.3 }), admission.EnginesBusy, 2 * time.Second,
 		},
-		"displaces more, crowded out": {with(long, func(r *admission.Request) { r.DisplacedRatio, r.DisplacedWeight = 1.9, 0.5 }), "", 0},
-		"over its share, free slots":  {with(short, func(r *admission.Request) { r.FirstToken, r.OverShare = 290*ms, true }), "", 0},
-		"over its share, full slots": {
+		"displaces more, lowered weight": {with(long, func(r *admission.Request) { r.DisplacedRatio, r.DisplacedWeight = 1.9, 0.5 }), "", 0},
+		"over its share, slots free":     {with(short, func(r *admission.Request) { r.FirstToken, r.OverShare = 290*ms, true }), "", 0},
+		"over its share, slots full": {
 			with(short, func(r *admission.Request) { r.FirstToken, r.OverShare, r.SlotScarcity = 160*ms, true, 1 }), admission.OverShare, 160 * ms,
 		},
-		"over its share, full slots, no queue": {
+		"over its share, slots full, no queue": {
 			with(short, func(r *admission.Request) { r.OverShare, r.SlotScarcity = true, 1 }), "", 0,
 		},
-		"not over its share, full slots": {with(short, func(r *admission.Request) { r.FirstToken, r.SlotScarcity = 290*ms, 1 }), "", 0},
+		"not over its share, slots full": {with(short, func(r *admission.Request) { r.FirstToken, r.SlotScarcity = 290*ms, 1 }), "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			no, refused := admission.Default().Decide(tc.request)
-			if refused != (tc.why != "") || no.Reason != tc.why || no.RetryAfter != tc.after {
-				t.Errorf("refused %v: %q, after %v; want %q, after %v", refused, no.Reason, no.RetryAfter, tc.why, tc.after)
+			if refused != (tc.reason != "") || no.Reason != tc.reason || no.RetryAfter != tc.after {
+				t.Errorf("refused %v: %q, after %v; want %q, after %v", refused, no.Reason, no.RetryAfter, tc.reason, tc.after)
 			}
 		})
 	}
 }
 
-func TestRulesCanBeSwitchedOff(t *testing.T) {
+func TestRulesCanBeDisabled(t *testing.T) {
 	for name, tc := range map[string]struct {
 		policy  admission.Policy
 		request func(*admission.Request)
@@ -114,7 +115,7 @@
 				t.Errorf("refused as %q", no.Reason)
 			}
 			if _, refused := admission.Default().Decide(r); !refused {
-				t.Error("not refused with all rules")
+				t.Error("not refused with all rules enabled")
 			}
 		})
 	}
