--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -1,9 +1,9 @@
-// Package limit bounds what one workspace may take: how many retries its
-// requests may cause, and how much of a site they may occupy.
+// Package limit bounds how many retries the requests of a workspace or service may
+// cause, and how much of an engine a workspace may use.
 //
 // # Usage
 //
-//	b := limit.NewBudgets(0.1)
+//	b := limit.NewRetryBudgets(0.1)
 //	b.Earn("till")            // for each request
 //	if b.Spend("till") { ... } // before each retry
 package limit
@@ -11,50 +11,51 @@
 import "sync"
 
 const (
-	// reserve is the number of retries that a workspace can save up, and
+	// maxSavedRetries is the number of retries that a workspace can save up, and
 	// has at its first request.
-	reserve = 10
-	// maxWorkspaces bounds the memory of budgets: with more, all start anew.
+	maxSavedRetries = 10
+	// maxWorkspaces bounds the memory of the budgets: beyond it all are reset.
 	maxWorkspaces = 50_000
 )
 
-// RetryBudgets hold one retry budget a workspace. Each request earns a part of a
-// retry, so that retries stay a fixed part of the traffic, and a third of the
-// engines dying at once can't cause a storm. It is safe for use by many
-// goroutines.
+// RetryBudgets holds a retry budget for each workspace. Each request earns a
+// fraction of a retry, so that retries stay a fixed fraction of the traffic and
+// the simultaneous failure of a third of the engines can't cause a retry storm. It
+// is safe for concurrent use.
 type RetryBudgets struct {
-	part float64
+	perRequest float64
 
-	mu   sync.Mutex
-	left map[string]float64
+	mu        sync.Mutex
+	remaining map[string]float64
 }
 
-// NewRetryBudgets returns budgets in which a request earns part of a retry.
-func NewRetryBudgets(part float64) *RetryBudgets {
-	return &RetryBudgets{part: part, left: map[string]float64{}}
+// NewRetryBudgets returns budgets in which each request earns perRequest retries.
+func NewRetryBudgets(perRequest float64) *RetryBudgets {
+	return &RetryBudgets{perRequest: perRequest, remaining: map[string]float64{}}
 }
 
-// Earn adds the part that one request earns.
+// Earn credits a workspace for one request.
 func (b *RetryBudgets) Earn(workspace string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n, ok := b.left[workspace]
+	n, ok := b.remaining[workspace]
 	if !ok {
-		if len(b.left) >= maxWorkspaces {
-			clear(b.left)
+		if len(b.remaining) >= maxWorkspaces {
+			clear(b.remaining)
 		}
-		n = reserve
+		n = maxSavedRetries
 	}
-	b.left[workspace] = min(n+b.part, reserve)
+	b.remaining[workspace] = min(n+b.perRequest, maxSavedRetries)
 }
 
-// Spend takes one retry, and reports whether there was one.
+// Spend takes one retry from a workspace's budget, and reports whether there was
+// one left.
 func (b *RetryBudgets) Spend(workspace string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left[workspace] < 1 {
+	if b.remaining[workspace] < 1 {
 		return false
 	}
-	b.left[workspace]--
+	b.remaining[workspace]--
 	return true
 }
--- a/core/limit/share.go
+++ b/core/limit/share.go
@@ -3,101 +3,103 @@
 import "time"
 
 const (
-	// leastShare is the share of a workspace whose template states none.
-	leastShare = 0.01
-	// burst is how far a workspace may be ahead of its share before its
-	// requests wait, in time of the engine: one prompt that is not quite
-	// short must not hold up the short ones that follow it.
+	// minShare is the share of a workspace whose template states none.
+	minShare = 0.01
+	// burst is how far a workspace may exceed its share before its requests are
+	// delayed, in time of the engine, so that one prompt of medium length doesn't
+	// delay the short ones that follow it.
 	burst = 2 * time.Second
 )
 
-// FairQueue keeps workspaces to their shares of one engine by fair queueing: a
-// virtual time moves with the work that the engine can do for the workspaces
-// that want some, and each workspace has a mark that its own work moves, the
-// faster the smaller its share. A workspace whose mark is ahead of the virtual
-// time has had more than its share; its requests wait behind others' by as
-// long as the engine needs to catch up.
+// FairQueue keeps workspaces to their shares of one engine by fair queueing. The
+// virtual time advances with the work that the engine can do for the workspaces
+// that have work. Each workspace has a virtual finish time, which its work advances
+// in inverse proportion to its share. A workspace whose finish time is ahead of the
+// virtual time has used more than its share, and its requests are delayed behind
+// those of others by the time that the engine needs to catch up.
 //
-// Nothing is refused and nothing is kept free: a workspace that is alone moves
-// the virtual time by itself. One goroutine owns it.
+// It refuses no request and reserves no capacity: a workspace that is alone advances
+// the virtual time by itself. It is not safe for concurrent use.
 type FairQueue struct {
-	virtual float64
-	marks   map[string]mark
-	last    time.Time
+	virtual    float64 // virtual time, in tokens divided by share
+	workspaces map[string]finish
+	last       time.Time
 }
 
-// NewFairQueue returns shares with no work yet.
-func NewFairQueue(now time.Time) *FairQueue { return &FairQueue{marks: map[string]mark{}, last: now} }
+// NewFairQueue returns a queue without work.
+func NewFairQueue(now time.Time) *FairQueue {
+	return &FairQueue{workspaces: map[string]finish{}, last: now}
+}
 
-// mark is how far a workspace's work reaches, in tokens divided by share. Short
-// requests have a mark of their own, which long ones do not move, so that they
-// need not wait behind their own workspace's long ones; long ones wait behind
-// both.
-type mark struct {
+// finish holds the virtual finish times of a workspace, in tokens divided by share.
+// That of short requests isn't advanced by long ones, so that short requests don't
+// wait behind their own workspace's long ones; long ones wait behind both.
+type finish struct {
 	short, all float64
 	share      float64
 }
 
-// Delay returns how long a request of the workspace should wait behind those
-// of others that arrive now. The rate is the engine's, in tokens a second.
-func (s *FairQueue) Delay(workspace string, long bool, rate float64, now time.Time) time.Duration {
-	s.advance(rate, now)
-	m, ok := s.marks[workspace]
+// Delay returns how long a request of the workspace is to be delayed behind those
+// of others that arrive now. The rate is the engine's, in tokens per second.
+func (q *FairQueue) Delay(workspace string, long bool, rate float64, now time.Time) time.Duration {
+	q.advance(rate, now)
+	f, ok := q.workspaces[workspace]
 	if !ok {
 		return 0
 	}
-	at := m.short
+	end := f.short
 	if long {
-		at = m.all
+		end = f.all
 	}
-	ahead := time.Duration(max(0, at-s.virtual) * s.active() / rate * float64(time.Second))
+	ahead := time.Duration(max(0, end-q.virtual) * q.activeShares() / rate * float64(time.Second))
 	return max(0, ahead-burst)
 }
 
-// Charge records work for a workspace, in tokens.
-func (s *FairQueue) Charge(workspace string, long bool, share, tokens, rate float64, now time.Time) {
-	s.advance(rate, now)
-	m := s.marks[workspace]
-	m.share = max(share, leastShare)
-	m.all = max(m.all, s.virtual) + tokens/m.share
+// Charge records work of a workspace, in tokens.
+func (q *FairQueue) Charge(workspace string, long bool, share, tokens, rate float64, now time.Time) {
+	q.advance(rate, now)
+	f := q.workspaces[workspace]
+	f.share = max(share, minShare)
+	f.all = max(f.all, q.virtual) + tokens/f.share
 	if !long {
-		m.short = max(m.short, s.virtual) + tokens/m.share
+		f.short = max(f.short, q.virtual) + tokens/f.share
 	}
-	s.marks[workspace] = m
+	q.workspaces[workspace] = f
 }
 
-// advance moves the virtual time on, mark by mark, since each mark that it
-// reaches leaves more of the engine to the others.
-func (s *FairQueue) advance(rate float64, now time.Time) {
-	left := max(0, now.Sub(s.last).Seconds()*rate)
-	s.last = now
-	for len(s.marks) > 0 {
-		next, name := s.nearest()
-		need := (next - s.virtual) * s.active()
-		if need > left {
-			s.virtual += left / s.active()
+// advance moves the virtual time to now, one finish time after the other, since a
+// workspace that has finished leaves more of the engine to the others.
+func (q *FairQueue) advance(rate float64, now time.Time) {
+	tokens := max(0, now.Sub(q.last).Seconds()*rate)
+	q.last = now
+	for len(q.workspaces) > 0 {
+		next, name := q.earliest()
+		need := (next - q.virtual) * q.activeShares()
+		if need > tokens {
+			q.virtual += tokens / q.activeShares()
 			return
 		}
-		left -= need
-		s.virtual = next
-		delete(s.marks, name)
+		tokens -= need
+		q.virtual = next
+		delete(q.workspaces, name)
 	}
 }
 
-// active returns the sum of the shares of workspaces that have work.
-func (s *FairQueue) active() float64 {
+// activeShares returns the sum of the shares of workspaces that have work.
+func (q *FairQueue) activeShares() float64 {
 	sum := 0.0
-	for _, m := range s.marks {
-		sum += m.share
+	for _, f := range q.workspaces {
+		sum += f.share
 	}
 	return sum
 }
 
-func (s *FairQueue) nearest() (float64, string) {
+// earliest returns the workspace that finishes first, and its finish time.
+func (q *FairQueue) earliest() (float64, string) {
 	best, name := 0.0, ""
-	for k, m := range s.marks {
-		if name == "" || m.all < best {
-			best, name = m.all, k
+	for k, f := range q.workspaces {
+		if name == "" || f.all < best {
+			best, name = f.all, k
 		}
 	}
 	return best, name
--- a/core/limit/window.go
+++ b/core/limit/window.go
@@ -7,13 +7,13 @@
 	"slipcrank.example/core/site"
 )
 
-// parts is how many parts a window is counted in.
-const parts = 20
+// windowSlots is the number of slots of a sliding window.
+const windowSlots = 20
 
 type (
-	// RetryWindow bounds retries in any span of time by the requests in it: a
-	// share of them, and a fixed number beside. It is safe for use by many
-	// goroutines.
+	// RetryWindow limits the retries to each service in a sliding window to a
+	// fraction of the service's requests in it, plus a fixed number. It is safe for
+	// concurrent use.
 	RetryWindow struct {
 		span  time.Duration
 		share float64
@@ -24,21 +24,23 @@
 		services map[string]*counts
 	}
 
-	// counts are requests and retries by part of the window.
+	// counts holds the requests and retries in each slot of the window, and the
+	// slot's number since the start.
 	counts struct {
-		at       [parts]int64
-		requests [parts]int
-		retries  [parts]int
+		number   [windowSlots]int64
+		requests [windowSlots]int
+		retries  [windowSlots]int
 	}
 )
 
 // NewRetryWindow returns a budget: within any span, retries to a service stay below
-// share of its requests and slack, this host's part of what all may add.
+// share of its requests plus slack, this host's part of the retries that all hosts
+// together may add.
 func NewRetryWindow(span time.Duration, share float64, slack func() float64) *RetryWindow {
 	return &RetryWindow{span: span, share: share, slack: slack, start: time.Now(), services: map[string]*counts{}}
 }
 
-// AddRequest counts a request for the service that it most likely goes to.
+// AddRequest counts a request for the target with the highest weight.
 func (w *RetryWindow) AddRequest(targets []site.Target, now time.Time) {
 	if len(targets) == 0 {
 		return
@@ -51,20 +53,20 @@
 			heaviest = t
 		}
 	}
-	c, i := w.part(heaviest.Service, now)
+	c, i := w.slot(heaviest.Service, now)
 	c.requests[i]++
 }
 
-// Spend takes one retry of a service's budget, and reports whether there was
+// Spend takes one retry from a service's budget, and reports whether there was
 // one left.
 func (w *RetryWindow) Spend(service string, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c, i := w.part(service, now)
+	c, i := w.slot(service, now)
 	var requests, retries int
-	oldest := c.at[i] - parts + 1
-	for j := range parts {
-		if c.at[j] >= oldest {
+	oldest := c.number[i] - windowSlots + 1
+	for j := range windowSlots {
+		if c.number[j] >= oldest {
 			requests += c.requests[j]
 			retries += c.retries[j]
 		}
@@ -76,16 +78,18 @@
 	return true
 }
 
-func (w *RetryWindow) part(service string, now time.Time) (*counts, int) {
+// slot returns the counts of a service and the index of the slot for now, which it
+// clears if it holds older counts.
+func (w *RetryWindow) slot(service string, now time.Time) (*counts, int) {
 	c := w.services[service]
 	if c == nil {
 		c = &counts{}
 		w.services[service] = c
 	}
-	at := int64(now.Sub(w.start)/(w.span/parts)) + parts
-	i := int(at % parts)
-	if c.at[i] != at {
-		c.at[i], c.requests[i], c.retries[i] = at, 0, 0
+	n := int64(now.Sub(w.start)/(w.span/windowSlots)) + windowSlots
+	i := int(n % windowSlots)
+	if c.number[i] != n {
+		c.number[i], c.requests[i], c.retries[i] = n, 0, 0
 	}
 	return c, i
 }
