--- a/core/grant/grant.go
+++ b/core/grant/grant.go
@@ -1,23 +1,24 @@
-// Package grant hands out the requests that a rate-limited backend server takes from
-// all hosts together.
+// Package grant shares the request rate of a rate-limited backend server among all
+// hosts.
 //
-// Each host with a bucket of its own can't keep the sum: with a rate of 1 a second and
-// room for one request each, 295 hosts may send 299 requests in 4 s. So one host, the
-// holder, has the only bucket of a server, and others ask it before each request.
-// Who holds is no role and not agreed: each host works it out from the list of hosts
-// that the platform has, by [RankHolders], leaving out those that don't answer it. Nobody
-// is asked by whom a server can't be reached: hosts of the server's own data hall come
-// first, so a hall that is cut off goes on using its servers within their limits.
+// Token buckets on every host can't bound the sum: with a rate of 1 request/s and a
+// burst of one request each, 295 hosts may send 299 requests in 4 s. So each server
+// has a single bucket, on one host, the holder, and the other hosts ask the holder
+// before each request. There is no election: each host computes the holder with
+// [RankHolders] from the platform's list of hosts, skipping hosts that don't answer
+// it. Hosts in the server's own data hall rank first, so the holder can reach the
+// server, and a hall that is cut off from the others keeps using its servers within
+// their limits.
 //
-// Hosts may disagree for a while on who holds, and each of two holders grants the
-// whole rate. A [Buckets] begins empty, so whoever takes over adds nothing at once.
+// Hosts may disagree for a while about the holder, and then each of two holders
+// grants the full rate. New [Buckets] start empty, so a new holder grants no burst.
 //
 // # Usage
 //
-//	for _, h := range grant.Order(server, hall, hosts) { ... the first that answers holds }
-//	l := grant.NewLedger()
-//	ok, wait := l.Take(server, rate, clock.Now())
-//	l.Drop(server)     // another host holds it
+//	for _, h := range grant.RankHolders(server, hall, hosts) { ... the first that answers is the holder }
+//	b := grant.NewBuckets()
+//	ok, wait := b.Take(server, rate, clock.Now())
+//	b.Drop(server)     // another host is the holder
 package grant
 
 import (
@@ -29,34 +30,34 @@
 	"slipcrank.example/core/route"
 )
 
-// leastRate is the least number of requests a second that is granted: one now and then
-// goes to a server that takes none, since only an answer tells that it takes some
-// again.
-const leastRate = 0.25
+// minRate is the lowest granted rate, in requests per second. A server with a limit of
+// 0 still gets a request now and then, since only an answer shows that the limit has
+// ended.
+const minRate = 0.25
 
-// burstTime is how long requests that nobody asked for are kept: of a server that takes
-// many a second, hosts can't ask for each as soon as there is one.
+// burstTime is the capacity of a bucket, in time: at high rates, hosts can't ask for
+// each request at the moment it becomes available.
 const burstTime = 100 * time.Millisecond
 
 type (
-	// Host may hold a server's bucket.
+	// Host is a candidate holder of a server's bucket.
 	Host struct {
 		Name, Hall string
 	}
 
-	// Buckets has the buckets of the servers that this host holds. It is safe for use
-	// by many goroutines.
+	// Buckets has the token buckets of the servers that this host holds. It is safe
+	// for concurrent use.
 	Buckets struct {
-		mu      sync.Mutex
-		buckets map[string]*rate.Limiter
+		mu       sync.Mutex
+		byServer map[string]*rate.Limiter
 	}
 )
 
-// NewBuckets returns a ledger without buckets.
-func NewBuckets() *Buckets { return &Buckets{buckets: map[string]*rate.Limiter{}} }
+// NewBuckets returns an empty set of buckets.
+func NewBuckets() *Buckets { return &Buckets{byServer: map[string]*rate.Limiter{}} }
 
-// RankHolders returns the names of the hosts in the order in which they are to hold a
-// server's bucket: those of its hall first.
+// RankHolders returns the names of the hosts in the order of preference as the holder
+// of a server's bucket: those of the server's hall first.
 func RankHolders(server, hall string, hosts []Host) []string {
 	var near, far []string
 	for _, h := range hosts {
@@ -69,11 +70,11 @@
 	return append(route.Rank(server, near), route.Rank(server, far)...)
 }
 
-// GrantRate is what is granted of a limit, in requests a second.
-func GrantRate(limit float64) float64 { return max(limit, leastRate) }
+// GrantRate returns the rate that is granted under a limit, in requests per second.
+func GrantRate(limit float64) float64 { return max(limit, minRate) }
 
-// RequestInterval is for how long a server takes nothing more once it has got a request; 0 where
-// requests that nobody asked for may be left.
+// RequestInterval returns the interval between two requests to a server under a limit,
+// or 0 if its bucket may hold several.
 func RequestInterval(limit float64) time.Duration {
 	p := time.Duration(float64(time.Second) / GrantRate(limit))
 	if p < burstTime {
@@ -82,43 +83,43 @@
 	return p
 }
 
-// Take takes one request of a server that names a limit, in requests a second. If there
-// is none, it reports false and how long it takes until there is.
-func (l *Buckets) Take(server string, limit float64, now time.Duration) (bool, time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r, at := rate.Limit(GrantRate(limit)), time.Unix(0, int64(now))
+// Take takes one request from the bucket of a server with a limit, in requests per
+// second. If the bucket is empty, it returns false and the time until the next request.
+func (b *Buckets) Take(server string, limit float64, now time.Duration) (bool, time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	r, t := rate.Limit(GrantRate(limit)), time.Unix(0, int64(now))
 	burst := max(int(float64(r)*burstTime.Seconds()), 1)
-	b := l.buckets[server]
-	if b == nil {
-		b = rate.NewLimiter(r, burst)
-		b.AllowN(at, burst)
-		l.buckets[server] = b
+	l := b.byServer[server]
+	if l == nil {
+		l = rate.NewLimiter(r, burst)
+		l.AllowN(t, burst)
+		b.byServer[server] = l
 	}
-	if b.Limit() != r {
-		b.SetLimitAt(at, r)
-		b.SetBurstAt(at, burst)
+	if l.Limit() != r {
+		l.SetLimitAt(t, r)
+		l.SetBurstAt(t, burst)
 	}
-	if b.AllowN(at, 1) {
+	if l.AllowN(t, 1) {
 		return true, 0
 	}
-	return false, time.Duration((1 - b.TokensAt(at)) / float64(r) * float64(time.Second))
+	return false, time.Duration((1 - l.TokensAt(t)) / float64(r) * float64(time.Second))
 }
 
-// Retain drops the buckets of servers that aren't listed any more.
-func (l *Buckets) Retain(listed func(server string) bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for server := range l.buckets {
+// Retain drops the buckets of servers that are no longer listed.
+func (b *Buckets) Retain(listed func(server string) bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for server := range b.byServer {
 		if !listed(server) {
-			delete(l.buckets, server)
+			delete(b.byServer, server)
 		}
 	}
 }
 
-// Drop forgets the bucket of a server that another host holds.
-func (l *Buckets) Drop(server string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.buckets, server)
+// Drop drops the bucket of a server that another host holds.
+func (b *Buckets) Drop(server string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.byServer, server)
 }
--- a/core/grant/message.go
+++ b/core/grant/message.go
@@ -7,25 +7,25 @@
 )
 
 type (
-	// Request asks the holder of a server's bucket for one request.
+	// Request asks the holder of a server's bucket to grant one request to it.
 	Request struct {
 		ID uint32
-		// Server is the ID of its start, and Hall where it is.
+		// Server is the ID of the server's start, and Hall its data hall.
 		Server, Hall string
-		// Limit is what the host that asks knows of the server.
+		// Limit is the server's limit as the requesting host knows it.
 		Limit notice.Limit
-		// Ping asks for an answer only, and takes nothing.
+		// Ping asks for a reply only and takes no request from the bucket.
 		Ping bool
 	}
 
-	// Reply answers a question.
+	// Reply answers a [Request].
 	Reply struct {
 		ID     uint32
 		Server string
-		// Limit is what the host that answers knows of the server.
+		// Limit is the server's limit as the replying host knows it.
 		Limit notice.Limit
-		// Granted says that one request may go to the server now. If not, Wait is how
-		// long it takes until one may.
+		// Granted reports whether one request may be sent to the server now. If not,
+		// Wait is the time until one may.
 		Granted bool
 		Wait    time.Duration
 	}
--- a/core/grant/reach.go
+++ b/core/grant/reach.go
@@ -3,61 +3,61 @@
 import "time"
 
 const (
-	// silence is how long a host may leave questions unanswered, and silentAsks how
-	// many, before it counts as silent: on a link that loses packets one is lost now
-	// and then, and a busy host answers within some 10 ms.
-	silence    = 600 * time.Millisecond
-	silentAsks = 2
+	// replyTimeout is how long a host may leave requests unanswered, and
+	// minUnanswered how many it must leave, before it counts as unresponsive: single
+	// packets are lost on a lossy link, and a busy host replies within some 10 ms.
+	replyTimeout  = 600 * time.Millisecond
+	minUnanswered = 2
 )
 
 type (
-	// Reachability is which hosts leave this one's questions unanswered. It is for use by one
-	// goroutine.
+	// Reachability tracks which hosts leave this host's requests unanswered. It is not
+	// safe for concurrent use.
 	Reachability struct {
-		asked map[string]unanswered
+		pending map[string]unanswered
 	}
 
 	unanswered struct {
-		count        int
-		first, since time.Duration // when the first and the last of them was asked
+		count       int
+		first, last time.Duration // when the first and the last of them were sent
 	}
 )
 
-// NewReachability returns a reach of which nothing is known: all hosts count as there.
-func NewReachability() *Reachability { return &Reachability{asked: map[string]unanswered{}} }
+// NewReachability returns a Reachability in which all hosts count as responsive.
+func NewReachability() *Reachability { return &Reachability{pending: map[string]unanswered{}} }
 
-// RequestSent notes a question to a host.
+// RequestSent records a request to a host.
 func (r *Reachability) RequestSent(host string, now time.Duration) {
-	u, known := r.asked[host]
+	u, known := r.pending[host]
 	if !known {
 		u.first = now
 	}
 	u.count++
-	u.since = now
-	r.asked[host] = u
+	u.last = now
+	r.pending[host] = u
 }
 
-// ReplyReceived notes that a host has said something.
-func (r *Reachability) ReplyReceived(host string) { delete(r.asked, host) }
+// ReplyReceived records that a host has sent a message.
+func (r *Reachability) ReplyReceived(host string) { delete(r.pending, host) }
 
-// Unresponsive reports whether a host has left questions unanswered for too long.
+// Unresponsive reports whether a host has left requests unanswered for too long.
 func (r *Reachability) Unresponsive(host string, now time.Duration) bool {
-	u := r.asked[host]
-	return u.count >= silentAsks && now-u.first >= silence
+	u := r.pending[host]
+	return u.count >= minUnanswered && now-u.first >= replyTimeout
 }
 
-// SinceUnanswered is how long ago a host was asked last that has not answered since, and whether
-// there is such a question.
+// SinceUnanswered returns the time since the last unanswered request to a host, and
+// whether there is one.
 func (r *Reachability) SinceUnanswered(host string, now time.Duration) (time.Duration, bool) {
-	u, known := r.asked[host]
-	return now - u.since, known
+	u, ok := r.pending[host]
+	return now - u.last, ok
 }
 
-// Retain drops all hosts but those that are known.
+// Retain drops the records of hosts for which known is false.
 func (r *Reachability) Retain(known func(host string) bool) {
-	for h := range r.asked {
+	for h := range r.pending {
 		if !known(h) {
-			delete(r.asked, h)
+			delete(r.pending, h)
 		}
 	}
 }
