--- a/core/backend/backend.go
+++ b/core/backend/backend.go
@@ -1,7 +1,7 @@
 // Package backend knows the backend servers of a site: which there are, and
 // which may get new work.
 //
-// A [Book] takes in what the platform's list says, row by row, and never goes
+// A [Registry] takes in what the platform's list says, row by row, and never goes
 // back to an older row. Entries lapse by themselves while the platform is
 // away, so one that is gone right after an outage is kept for a short while:
 // if the server lives, its entry returns.
@@ -28,11 +28,11 @@
 
 // The changes of a server.
 const (
-	// Drains says that it is leaving, and Unreadable that its entry can't be used.
-	Drains, Unreadable Change = "drains", "unreadable"
-	// Gone says that its entry has gone. Kept says the same of an entry that may
-	// have lapsed: the server gets work until it is Dropped or Back.
-	Gone, Kept, Dropped, Back Change = "gone", "kept", "dropped", "back"
+	// Draining says that it is leaving, and Unreadable that its entry can't be used.
+	Draining, Unreadable ChangeKind = "drains", "unreadable"
+	// Removed says that its entry has gone. Retained says the same of an entry that may
+	// have lapsed: the server gets work until it is Expired or Restored.
+	Removed, Retained, Expired, Restored ChangeKind = "gone", "kept", "dropped", "back"
 )
 
 type (
@@ -44,8 +44,8 @@
 		// Name is the platform's ID, which the server keeps when it starts again;
 		// "" if that is ID.
 		Name string
-		// Born is when it started, in Unix milliseconds; 0 if it doesn't say.
-		Born int64
+		// StartedMillis is when it started, in Unix milliseconds; 0 if it doesn't say.
+		StartedMillis int64
 		// Service is the name of what it serves.
 		Service string
 		// Addr is an IP number and a port. After the server's end it may
@@ -59,20 +59,20 @@
 		Draining bool
 	}
 
-	// Change is what becomes of a server that gets new work, or of one that gets none.
-	Change string
+	// ChangeKind is what becomes of a server that gets new work, or of one that gets none.
+	ChangeKind string
 
-	// Leaving is a change of one server, for the log.
-	Leaving struct {
-		ID     string // of its start
-		Change Change
+	// Change is a change of one server, for the log.
+	Change struct {
+		ID   string // of its start
+		Kind ChangeKind
 	}
 
-	// Book collects the entries. One goroutine owns it.
-	Book struct {
+	// Registry collects the entries. One goroutine owns it.
+	Registry struct {
 		entries  map[string]entry // by the platform's ID
 		returned time.Duration    // when the platform was last back
-		leaving  []Leaving        // since they were asked for last
+		leaving  []Change         // since they were asked for last
 	}
 
 	entry struct {
@@ -94,46 +94,46 @@
 	}
 )
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{entries: map[string]entry{}, returned: -time.Hour} }
+// NewRegistry returns an empty book.
+func NewRegistry() *Registry { return &Registry{entries: map[string]entry{}, returned: -time.Hour} }
 
-// Returned notes that the platform answers again after an outage. Entries
+// PlatformReturned notes that the platform answers again after an outage. Entries
 // that turn out to be gone from now on, and for a short while, may have lapsed.
-func (b *Book) Returned(now time.Duration) { b.returned = now }
+func (b *Registry) PlatformReturned(now time.Duration) { b.returned = now }
 
 // PlatformID is the ID by which the platform knows the server, in all its starts.
 func (s Server) PlatformID() string { return cmp.Or(s.Name, s.ID) }
 
 // Put takes in an entry, and reports whether it changed what is known. What an
 // earlier start wrote late doesn't take the place of a later one.
-func (b *Book) Put(s Server, revision int64) bool {
+func (b *Registry) Put(s Server, revision int64) bool {
 	old, ok := b.entries[s.PlatformID()]
-	if ok && (old.revision >= revision || s.Born < old.server.Born) {
+	if ok && (old.revision >= revision || s.StartedMillis < old.server.StartedMillis) {
 		return false
 	}
 	b.entries[s.PlatformID()] = entry{server: s, revision: revision}
 	switch {
 	case ok && !old.gone && s.Draining && !old.server.Draining:
-		b.note(s, Drains)
+		b.note(s, Draining)
 	case ok && old.gone && !s.Draining:
-		b.note(s, Back)
+		b.note(s, Restored)
 	}
 	return !ok || old.gone || old.server != s
 }
 
 // note keeps a change for the log.
-func (b *Book) note(s Server, c Change) { b.leaving = append(b.leaving, Leaving{s.ID, c}) }
+func (b *Registry) note(s Server, c ChangeKind) { b.leaving = append(b.leaving, Change{s.ID, c}) }
 
-// Leaving returns how servers began and ceased to leave since the last call.
-func (b *Book) Leaving() []Leaving {
+// TakeChanges returns how servers began and ceased to leave since the last call.
+func (b *Registry) TakeChanges() []Change {
 	l := b.leaving
 	b.leaving = nil
 	return l
 }
 
-// Spoil takes in that a server's entry can't be used: the server gets no new work
+// MarkUnreadable takes in that a server's entry can't be used: the server gets no new work
 // until it can. It reports whether that changed what is known.
-func (b *Book) Spoil(id string, revision int64) bool {
+func (b *Registry) MarkUnreadable(id string, revision int64) bool {
 	old, ok := b.entries[id]
 	if !ok || old.gone || old.revision >= revision {
 		return false
@@ -148,23 +148,23 @@
 }
 
 // Remove takes in that an entry is gone, and reports whether that was new.
-func (b *Book) Remove(id string, revision int64, now time.Duration) bool {
+func (b *Registry) Remove(id string, revision int64, now time.Duration) bool {
 	old, ok := b.entries[id]
 	if !ok || old.gone || old.revision > revision {
 		return false
 	}
 	old.revision, old.gone = revision, true
-	change := Gone
+	change := Removed
 	if until := b.returned + lapseGrace; !old.server.Draining && now < until {
-		old.until, change = until, Kept
+		old.until, change = until, Retained
 	}
 	b.entries[id] = old
 	b.note(old.server, change)
 	return true
 }
 
-// Reset takes in a whole list: what it lacks is gone.
-func (b *Book) Reset(present map[string]bool, revision int64, now time.Duration) bool {
+// RemoveMissing takes in a whole list: what it lacks is gone.
+func (b *Registry) RemoveMissing(present map[string]bool, revision int64, now time.Duration) bool {
 	changed := false
 	for id := range b.entries {
 		if !present[id] && b.Remove(id, revision, now) {
@@ -174,8 +174,8 @@
 	return changed
 }
 
-// Lapsing reports whether servers are kept whose entries lapsed.
-func (b *Book) Lapsing() bool {
+// HasRetained reports whether servers are kept whose entries lapsed.
+func (b *Registry) HasRetained() bool {
 	for _, e := range b.entries {
 		if e.until > 0 {
 			return true
@@ -185,14 +185,14 @@
 }
 
 // View returns what is known now. Servers whose grace is over are forgotten.
-func (b *Book) View(now time.Duration) *View {
+func (b *Registry) View(now time.Duration) *View {
 	v := &View{
 		byService: map[string][]Server{},
 		byID:      map[string]Server{}, byName: map[string]Server{}, byAddr: map[string]Server{},
 	}
 	for id, e := range b.entries {
 		if e.until > 0 && now >= e.until {
-			b.note(e.server, Dropped)
+			b.note(e.server, Expired)
 			e.until = 0
 			b.entries[id] = e
 		}
@@ -221,8 +221,8 @@
 	return s, ok
 }
 
-// Now returns the newest start of the server that the platform knows by an ID.
-func (v *View) Now(platformID string) (Server, bool) {
+// Current returns the newest start of the server that the platform knows by an ID.
+func (v *View) Current(platformID string) (Server, bool) {
 	s, ok := v.byName[platformID]
 	return s, ok
 }
@@ -246,14 +246,14 @@
 	return s, ok
 }
 
-// Takes reports whether a server may still get new work.
-func (v *View) Takes(id string) bool {
+// AcceptsWork reports whether a server may still get new work.
+func (v *View) AcceptsWork(id string) bool {
 	s, ok := v.byID[id]
 	return ok && !s.Draining
 }
 
-// Serves reports whether any known server has the address.
-func (v *View) Serves(addr string) bool {
+// HasAddr reports whether any known server has the address.
+func (v *View) HasAddr(addr string) bool {
 	_, ok := v.byAddr[addr]
 	return ok
 }
--- a/core/backend/grace_test.go
+++ b/core/backend/grace_test.go
@@ -14,14 +14,14 @@
 // decided, and a later one took the place of an earlier one.
 func TestGraceEndsOnce(t *testing.T) {
 	const grace = 2500 * time.Millisecond
-	b := backend.NewBook()
+	b := backend.NewRegistry()
 	b.Put(backend.Server{ID: "a", Service: "s"}, 1)
 	b.Put(backend.Server{ID: "b", Service: "s"}, 2)
 	back := time.Minute
-	b.Returned(back)
+	b.PlatformReturned(back)
 	b.Remove("a", 3, back+100*time.Millisecond)
 	for _, late := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second} {
-		b.Returned(back + late)
+		b.PlatformReturned(back + late)
 		if late == 2*time.Second && len(b.View(back+late).Ready("s")) != 2 {
 			t.Errorf("a server is dropped %v after the return", late)
 		}
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -294,7 +294,7 @@
 			e.tellSuspects(n)
 			if n++; n%sweepEvery == 0 {
 				servers := e.watcher.State().Servers
-				e.pool.Sweep(servers.Serves)
+				e.pool.Sweep(servers.HasAddr)
 				e.grants.Keep(func(server string) bool { _, ok := servers.Get(server); return ok })
 			}
 		}
--- a/daemon/entry/neighbors_test.go
+++ b/daemon/entry/neighbors_test.go
@@ -9,7 +9,7 @@
 
 // fleet returns servers of a model and of a plain service.
 func fleet(engines, plain int) *backend.View {
-	b := backend.NewBook()
+	b := backend.NewRegistry()
 	for n := range engines {
 		b.Put(backend.Server{ID: fmt.Sprintf("engine-%d", n), Service: "model", Addr: fmt.Sprintf("10.0.0.1:%d", n+1)}, 1)
 	}
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -133,7 +133,7 @@
 func startWith(t *testing.T, more []gateway.Option, answers ...reply) *fixture {
 	t.Helper()
 	f := &fixture{t: t, fresh: true}
-	book := backend.NewBook()
+	book := backend.NewRegistry()
 	for i, a := range answers {
 		s := serve(t, a)
 		f.servers = append(f.servers, s)
@@ -393,7 +393,7 @@
 		close(ended)
 	}()
 	f := start(t, plain(200, "unused"))
-	book := backend.NewBook()
+	book := backend.NewRegistry()
 	book.Put(backend.Server{ID: "i", Service: "plain", Addr: l.Addr().String(), Slots: 1}, 1)
 	f.view = book.View(0)
 	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
--- a/daemon/gateway/request.go
+++ b/daemon/gateway/request.go
@@ -59,7 +59,7 @@
 	g.clock.Refresh() // the machine may have been suspended since the call came
 	s := g.state()
 	c.sent = g.clock.Now()
-	if c.sent >= c.due || !s.Servers.Takes(p.Lead) || !g.willing(c, p) || g.permit(c, s) != nil ||
+	if c.sent >= c.due || !s.Servers.AcceptsWork(p.Lead) || !g.willing(c, p) || g.permit(c, s) != nil ||
 		g.stage(c) == quarantine.Held {
 		return errForbidden
 	}
--- a/daemon/gateway/restarts_test.go
+++ b/daemon/gateway/restarts_test.go
@@ -18,15 +18,15 @@
 		close(reached)
 		select {}
 	})
-	server := backend.Server{ID: "i@1", Name: "i", Born: 1, Service: "plain", Addr: f.servers[0].addr, Slots: 1}
-	book := backend.NewBook()
+	server := backend.Server{ID: "i@1", Name: "i", StartedMillis: 1, Service: "plain", Addr: f.servers[0].addr, Slots: 1}
+	book := backend.NewRegistry()
 	book.Put(server, 1)
 	f.view = book.View(0)
 	got := make(chan answer)
 	begun := time.Now()
 	go func() { got <- f.ask("POST", "/once/", "b") }()
 	<-reached
-	server.ID, server.Born = "i@2", 2
+	server.ID, server.StartedMillis = "i@2", 2
 	book.Put(server, 2)
 	f.view = book.View(0)
 	f.gateway.Upkeep(time.Now())
--- a/daemon/watch/take.go
+++ b/daemon/watch/take.go
@@ -37,7 +37,7 @@
 	case w.tables.Hosts:
 		changed = w.takeHosts(r)
 	}
-	if l := w.book.Leaving(); len(l) > 0 {
+	if l := w.book.TakeChanges(); len(l) > 0 {
 		age, _ := w.clock.Age(r.batch.Stamp, w.Now())
 		w.logLeaving(l, r.told, age)
 	}
@@ -82,7 +82,7 @@
 		return
 	}
 	age, _ := w.clock.Age(w.returned, w.Now())
-	w.book.Returned(w.Now() - age)
+	w.book.PlatformReturned(w.Now() - age)
 	w.logReturn(r.told, age)
 }
 
@@ -92,9 +92,9 @@
 
 // logLeaving writes how servers began and ceased to leave, by news of this age: 0 for
 // a time that is over.
-func (w *Watcher) logLeaving(leaving []backend.Leaving, told bool, age time.Duration) {
+func (w *Watcher) logLeaving(leaving []backend.Change, told bool, age time.Duration) {
 	for _, l := range leaving {
-		w.log.Write(event.ServerLeaving, slog.String("server", l.ID), slog.String("change", string(l.Change)),
+		w.log.Write(event.ServerLeaving, slog.String("server", l.ID), slog.String("change", string(l.Kind)),
 			slog.Bool("told", told), slog.Duration("age", age))
 	}
 }
@@ -139,13 +139,13 @@
 			if w.strange(row) {
 				w.log.Write(event.ConfigBad, slog.String("server", row.Key), slog.String("error", err.Error()))
 			}
-			changed = w.book.Spoil(row.Key, row.Revision) || changed
+			changed = w.book.MarkUnreadable(row.Key, row.Revision) || changed
 			continue
 		}
 		changed = w.book.Put(s, row.Revision) || changed
 	}
 	if r.whole {
-		changed = w.book.Reset(present, r.batch.Revision, now) || changed
+		changed = w.book.RemoveMissing(present, r.batch.Revision, now) || changed
 	}
 	return changed
 }
--- a/daemon/watch/watch.go
+++ b/daemon/watch/watch.go
@@ -141,7 +141,7 @@
 		leave     chan chan Update
 
 		// Owned by Run's goroutine.
-		book   *backend.Book
+		book   *backend.Registry
 		config *site.Config
 		// configRevision is the platform's of the configuration in force.
 		configRevision int64
@@ -179,7 +179,7 @@
 		steady: boottime.New(),
 		clock:  freshness.NewClock(),
 		reads:  make(chan read),
-		book:   backend.NewBook(),
+		book:   backend.NewRegistry(),
 		hosts:  map[string]Host{}, suspects: map[string]Suspect{},
 		unusable: map[string]int64{},
 		lost:     map[string]bool{},
@@ -249,7 +249,7 @@
 		case c := <-w.leave:
 			w.dismiss(c)
 		case <-tick.C:
-			if w.book.Lapsing() {
+			if w.book.HasRetained() {
 				w.publish()
 			}
 		}
@@ -284,5 +284,5 @@
 	}
 	w.state.Store(s)
 	w.onHosts(s.Hosts)
-	w.logLeaving(w.book.Leaving(), false, 0)
+	w.logLeaving(w.book.TakeChanges(), false, 0)
 }
