--- a/core/member/member.go
+++ b/core/member/member.go
@@ -51,8 +51,8 @@
 }
 
 const (
-	// SuspectTime is how long a suspicion stands before the member is dead.
-	SuspectTime = 3 * time.Second
+	// SuspicionTimeout is how long a suspicion stands before the member is dead.
+	SuspicionTimeout = 3 * time.Second
 	// forgetTime is how long a dead member is remembered, so that late news
 	// does not bring it back.
 	forgetTime = 2 * time.Minute
@@ -139,8 +139,8 @@
 	t.set.Merge(t.self)
 }
 
-// Silent says that a member answered neither directly nor through others.
-func (t *Table) Silent(addr string, now time.Time) bool {
+// PingFailed says that a member answered neither directly nor through others.
+func (t *Table) PingFailed(addr string, now time.Time) bool {
 	m, ok := t.set.Get(addr)
 	if !ok || (m.Status != Alive && m.Status != Leaving) {
 		return false
@@ -161,7 +161,7 @@
 		age := now.Sub(t.since[m.Addr])
 		switch {
 		case m.Addr == t.self.Addr:
-		case m.Status == Suspect && age >= SuspectTime:
+		case m.Status == Suspect && age >= SuspicionTimeout:
 			m.Status = Dead
 			changed = t.Merge(m, now) || changed
 		case m.Status == Dead && age >= forgetTime:
@@ -172,9 +172,9 @@
 	return changed
 }
 
-// Next returns the member to ping. Every member comes once in a round, in
+// NextPing returns the member to ping. Every member comes once in a round, in
 // random order, so that no death stays unseen for longer than a round.
-func (t *Table) Next(r *rand.Rand) (string, bool) {
+func (t *Table) NextPing(r *rand.Rand) (string, bool) {
 	for range 2 {
 		for len(t.round) > 0 {
 			a := t.round[0]
@@ -193,9 +193,9 @@
 	return "", false
 }
 
-// Others returns the addresses of up to n random members that are thought
+// RandomAlive returns the addresses of up to n random members that are thought
 // alive and for which want is true.
-func (t *Table) Others(n int, r *rand.Rand, want func(Member) bool) []string {
+func (t *Table) RandomAlive(n int, r *rand.Rand, want func(Member) bool) []string {
 	var as []string
 	for _, m := range t.set.All() {
 		if m.Addr != t.self.Addr && m.Status == Alive && want(m) {
@@ -215,8 +215,8 @@
 // Len returns the number of members known.
 func (t *Table) Len() int { return t.set.Len() }
 
-// News returns at most n records that others may not know.
-func (t *Table) News(n int) []Member { return t.set.News(n, t.set.Len()) }
+// Updates returns at most n records that others may not know.
+func (t *Table) Updates(n int) []Member { return t.set.News(n, t.set.Len()) }
 
-// Known says that some other daemon has the same records.
-func (t *Table) Known() { t.set.Known(t.set.Len()) }
+// PeerInSync says that some other daemon has the same records.
+func (t *Table) PeerInSync() { t.set.Known(t.set.Len()) }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -53,18 +53,18 @@
 		if (f.round+i)%syncEvery == 0 {
 			f.sync(t)
 		}
-		b, ok := t.Next(f.random)
+		b, ok := t.NextPing(f.random)
 		if !ok {
 			continue
 		}
 		if f.down[b] || f.tables[b] == nil {
-			t.Silent(b, f.now)
+			t.PingFailed(b, f.now)
 			continue
 		}
-		for _, m := range t.News(8) {
+		for _, m := range t.Updates(8) {
 			f.tables[b].Merge(m, f.now)
 		}
-		for _, m := range f.tables[b].News(8) {
+		for _, m := range f.tables[b].Updates(8) {
 			t.Merge(m, f.now)
 		}
 	}
@@ -72,7 +72,7 @@
 
 // sync exchanges everything with one other member, as daemons do now and then.
 func (f *fleet) sync(t *member.Table) {
-	for _, b := range t.Others(1, f.random, func(member.Member) bool { return true }) {
+	for _, b := range t.RandomAlive(1, f.random, func(member.Member) bool { return true }) {
 		if f.down[b] {
 			continue
 		}
@@ -143,11 +143,11 @@
 	a, b := member.New(alive("a", 1)), member.New(alive("b", 1))
 	a.Merge(alive("b", 1), start)
 	b.Merge(alive("a", 1), start)
-	a.Silent("b", start)
-	for _, m := range a.News(8) {
+	a.PingFailed("b", start)
+	for _, m := range a.Updates(8) {
 		b.Merge(m, start)
 	}
-	for _, m := range b.News(8) {
+	for _, m := range b.Updates(8) {
 		a.Merge(m, start)
 	}
 	a.Tick(start.Add(time.Hour))
@@ -161,8 +161,8 @@
 func TestRestartedHostIsANewMember(t *testing.T) {
 	a := member.New(alive("a", 1))
 	a.Merge(alive("b", 1), start)
-	a.Silent("b", start)
-	a.Tick(start.Add(member.SuspectTime))
+	a.PingFailed("b", start)
+	a.Tick(start.Add(member.SuspicionTimeout))
 	if !a.Merge(alive("b", 2), start.Add(time.Minute)) {
 		t.Error("a restarted host is not taken as a new member")
 	}
@@ -180,7 +180,7 @@
 	a, b := member.New(alive("a", 1)), member.New(alive("b", 1))
 	b.Leave()
 	a.Merge(b.Self(), start)
-	a.Silent("b", start)
+	a.PingFailed("b", start)
 	for _, m := range a.All() {
 		if m.Addr == "b" && m.Status != member.Dead {
 			t.Errorf("a member that said it would go is %v", m.Status)
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -91,7 +91,7 @@
 
 // Silent says that a member did not answer.
 func (s *State) Silent(addr string) {
-	if s.members.Silent(addr, s.now()) {
+	if s.members.PingFailed(addr, s.now()) {
 		s.dirty = true
 		event.MemberSuspected.Info("member", addr)
 	}
@@ -115,7 +115,7 @@
 // News returns what rides on the next heartbeat.
 func (s *State) News() News {
 	return News{
-		Members:        s.members.News(newsMembers),
+		Members:        s.members.Updates(newsMembers),
 		Engines:        s.engines.News(newsEngines, s.members.Len()),
 		TemplateNumber: s.book.Number(),
 	}
@@ -135,7 +135,7 @@
 
 // Known says that another daemon, picked at random, has the same records.
 func (s *State) Known() {
-	s.members.Known()
+	s.members.PeerInSync()
 	s.engines.Known(s.members.Len())
 }
 
--- a/daemon/upkeep/members.go
+++ b/daemon/upkeep/members.go
@@ -62,12 +62,12 @@
 func nextTarget(s *control.State) string {
 	self := s.Members().Self()
 	if s.Random().IntN(farPart) == 0 {
-		far := s.Members().Others(1, s.Random(), func(m member.Member) bool { return m.Hall != self.Hall })
+		far := s.Members().RandomAlive(1, s.Random(), func(m member.Member) bool { return m.Hall != self.Hall })
 		if len(far) == 1 {
 			return far[0]
 		}
 	}
-	t, _ := s.Members().Next(s.Random())
+	t, _ := s.Members().NextPing(s.Random())
 	return t
 }
 
@@ -100,7 +100,7 @@
 // differ, so that only digests are sent unless they do.
 func (u *Upkeep) syncMembers(ctx context.Context) {
 	next, _ := control.Ask(ctx, u.loop, func(s *control.State) comparison {
-		targets := s.Members().Others(1, s.Random(), func(member.Member) bool { return true })
+		targets := s.Members().RandomAlive(1, s.Random(), func(member.Member) bool { return true })
 		return comparison{targets: append(targets, s.Strangers(u.bootstrap)...), digest: s.Digest()}
 	})
 	for _, t := range next.targets {
@@ -111,7 +111,7 @@
 // others returns at most n random daemons that ok takes.
 func (u *Upkeep) others(ctx context.Context, n int, ok func(member.Member) bool) []string {
 	as, _ := control.Ask(ctx, u.loop, func(s *control.State) []string {
-		return s.Members().Others(n, s.Random(), ok)
+		return s.Members().RandomAlive(n, s.Random(), ok)
 	})
 	return as
 }
