--- a/core/broadcast/broadcast.go
+++ b/core/broadcast/broadcast.go
@@ -49,8 +49,8 @@
 		Addr       netip.AddrPort
 		// Link is the bandwidth of its link in Mbit/s, 0 if it isn't known.
 		Link float64
-		// Number tells its starts apart.
-		Number uint32
+		// StartNumber tells its starts apart.
+		StartNumber uint32
 	}
 
 	// Hosts are the hosts of a cell as one of them sees them: an immutable
@@ -62,13 +62,13 @@
 		byHall map[string][]Host // in the order in which they are to forward
 	}
 
-	// Evidence tells what is known of other hosts.
-	Evidence struct {
+	// Liveness tells what is known of other hosts.
+	Liveness struct {
 		// Alive reports whether a start of a host told something lately, however
 		// it came here.
 		Alive func(number uint32) bool
-		// Heard is when a datagram came from an address last, zero if never.
-		Heard func(addr netip.AddrPort) time.Duration
+		// LastReceived is when a datagram came from an address last, zero if never.
+		LastReceived func(addr netip.AddrPort) time.Duration
 	}
 
 	// Routes are who is told what.
@@ -82,9 +82,9 @@
 		Hall, Remote []netip.AddrPort
 	}
 
-	// Chooser chooses routes, and remembers which forwarders were lost. It is
+	// RouteChooser chooses routes, and remembers which forwarders were lost. It is
 	// for use by one goroutine.
-	Chooser struct {
+	RouteChooser struct {
 		chosen map[string]choice        // by hall
 		lost   map[string]time.Duration // until when, by host
 	}
@@ -117,13 +117,13 @@
 	return hs
 }
 
-// NewChooser returns a chooser that knows nothing yet.
-func NewChooser() *Chooser {
-	return &Chooser{chosen: map[string]choice{}, lost: map[string]time.Duration{}}
+// NewRouteChooser returns a chooser that knows nothing yet.
+func NewRouteChooser() *RouteChooser {
+	return &RouteChooser{chosen: map[string]choice{}, lost: map[string]time.Duration{}}
 }
 
 // Choose returns who is told what from now on.
-func (c *Chooser) Choose(now time.Duration, hs Hosts, e Evidence) Routes {
+func (c *RouteChooser) Choose(now time.Duration, hs Hosts, e Liveness) Routes {
 	if len(hs.others) <= directHosts {
 		return Routes{Direct: hs.others}
 	}
@@ -151,7 +151,7 @@
 
 // forgetOthers forgets which forwarders were chosen in other halls than the own
 // one: who begins to forward gives each of them time to be heard.
-func (c *Chooser) forgetOthers(own string) {
+func (c *RouteChooser) forgetOthers(own string) {
 	for hall := range c.chosen {
 		if hall != own {
 			delete(c.chosen, hall)
@@ -160,17 +160,17 @@
 }
 
 // firstAlive returns the first host that is there, or the very first if none is.
-func firstAlive(hosts []Host, e Evidence) Host {
-	i := slices.IndexFunc(hosts, func(h Host) bool { return e.Alive(h.Number) })
+func firstAlive(hosts []Host, e Liveness) Host {
+	i := slices.IndexFunc(hosts, func(h Host) bool { return e.Alive(h.StartNumber) })
 	return hosts[max(i, 0)]
 }
 
 // forwarder chooses the forwarder of a hall: the first of its hosts that is
 // there, or the very first if none is.
-func (c *Chooser) forwarder(now time.Duration, own string, hosts []Host, e Evidence) Host {
+func (c *RouteChooser) forwarder(now time.Duration, own string, hosts []Host, e Liveness) Host {
 	best := hosts[0]
 	for _, h := range hosts {
-		if h.Name == own || e.Alive(h.Number) && !c.isLost(now, h, e) {
+		if h.Name == own || e.Alive(h.StartNumber) && !c.isLost(now, h, e) {
 			best = h
 			break
 		}
@@ -183,12 +183,12 @@
 
 // isLost reports whether a host is known not to forward: it was told news and
 // has said nothing since.
-func (c *Chooser) isLost(now time.Duration, h Host, e Evidence) bool {
+func (c *RouteChooser) isLost(now time.Duration, h Host, e Liveness) bool {
 	if now < c.lost[h.Name] {
 		return true
 	}
 	chosen := c.chosen[h.Hall]
-	if chosen.name != h.Name || now-max(chosen.since, e.Heard(h.Addr)) <= silence {
+	if chosen.name != h.Name || now-max(chosen.since, e.LastReceived(h.Addr)) <= silence {
 		return false
 	}
 	c.lost[h.Name] = now + lostTime
--- a/core/broadcast/broadcast_test.go
+++ b/core/broadcast/broadcast_test.go
@@ -19,7 +19,7 @@
 		link = 200
 	}
 	return broadcast.Host{
-		Name: fmt.Sprintf("host-%d", n), Hall: fmt.Sprintf("hall-%d", n%halls), Link: link, Number: uint32(n),
+		Name: fmt.Sprintf("host-%d", n), Hall: fmt.Sprintf("hall-%d", n%halls), Link: link, StartNumber: uint32(n),
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 7340),
 	}
 }
@@ -37,14 +37,14 @@
 
 // without is the evidence that all hosts are there but some, of which nothing
 // was heard.
-func without(gone ...int) broadcast.Evidence {
+func without(gone ...int) broadcast.Liveness {
 	dead := map[netip.AddrPort]bool{}
 	for _, n := range gone {
 		dead[host(n).Addr] = true
 	}
-	return broadcast.Evidence{
+	return broadcast.Liveness{
 		Alive: func(number uint32) bool { return !dead[host(int(number)).Addr] },
-		Heard: func(a netip.AddrPort) time.Duration {
+		LastReceived: func(a netip.AddrPort) time.Duration {
 			if dead[a] {
 				return 0
 			}
@@ -55,7 +55,7 @@
 
 func TestSmallCellsAreToldDirectly(t *testing.T) {
 	for count, direct := range map[int]int{9: 8, 33: 32, 34: 0, 147: 0} {
-		if r := broadcast.NewChooser().Choose(0, seen(7, count), without()); len(r.Direct) != direct {
+		if r := broadcast.NewRouteChooser().Choose(0, seen(7, count), without()); len(r.Direct) != direct {
 			t.Errorf("of %d hosts %d are told directly, want %d", count, len(r.Direct), direct)
 		}
 	}
@@ -75,7 +75,7 @@
 			routes := map[netip.AddrPort]broadcast.Routes{}
 			for n := range count {
 				if e.Alive(uint32(n)) {
-					routes[host(n).Addr] = broadcast.NewChooser().Choose(0, seen(n, count), e)
+					routes[host(n).Addr] = broadcast.NewRouteChooser().Choose(0, seen(n, count), e)
 				}
 			}
 			for from, r := range routes {
@@ -109,14 +109,14 @@
 }
 
 func TestSilentForwarderIsReplacedForAWhile(t *testing.T) {
-	hs, c := seen(12, 147), broadcast.NewChooser()
+	hs, c := seen(12, 147), broadcast.NewRouteChooser()
 	first := c.Choose(0, hs, without()).Forwarder
 	if first != host(2).Addr {
 		t.Fatalf("the forwarder is %s, not the wide host of the hall", first)
 	}
 	// It still seems alive by what others pass on, but tells this host nothing.
 	silent := without()
-	silent.Heard = func(a netip.AddrPort) time.Duration {
+	silent.LastReceived = func(a netip.AddrPort) time.Duration {
 		if a == first {
 			return time.Second
 		}
@@ -125,7 +125,7 @@
 	for at, replaced := range map[time.Duration]bool{
 		1500 * time.Millisecond: false, 1700 * time.Millisecond: true, 5 * time.Second: true, 7 * time.Second: false,
 	} {
-		c := broadcast.NewChooser()
+		c := broadcast.NewRouteChooser()
 		c.Choose(0, hs, silent)
 		if at > 1700*time.Millisecond {
 			c.Choose(1700*time.Millisecond, hs, silent)
@@ -139,10 +139,10 @@
 // TestOnlyForwardersJudgeOtherHalls has a host that hears its own hall's
 // forwarder and no other: what other halls tell comes to it through that one.
 func TestOnlyForwardersJudgeOtherHalls(t *testing.T) {
-	hs, c := seen(12, 147), broadcast.NewChooser()
+	hs, c := seen(12, 147), broadcast.NewRouteChooser()
 	now := time.Duration(0)
 	e := without()
-	e.Heard = func(a netip.AddrPort) time.Duration {
+	e.LastReceived = func(a netip.AddrPort) time.Duration {
 		if a == host(2).Addr {
 			return now
 		}
@@ -159,10 +159,10 @@
 // TestHostThatBeginsToForwardJudgesAnew has the forwarder of a hall die, and the
 // host that follows it not hear one of another hall.
 func TestHostThatBeginsToForwardJudgesAnew(t *testing.T) {
-	hs, c := seen(132, 147), broadcast.NewChooser() // it follows host 2
+	hs, c := seen(132, 147), broadcast.NewRouteChooser() // it follows host 2
 	c.Choose(0, hs, without())
 	gone := without(2)
-	gone.Heard = func(a netip.AddrPort) time.Duration {
+	gone.LastReceived = func(a netip.AddrPort) time.Duration {
 		if a == host(0).Addr {
 			return 0
 		}
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -275,7 +275,7 @@
 	tick := time.NewTicker(upkeepPeriod)
 	defer tick.Stop()
 	r := readers{}
-	chooser, routes := broadcast.NewChooser(), broadcast.Routes{}
+	chooser, routes := broadcast.NewRouteChooser(), broadcast.Routes{}
 	for n := 0; ; {
 		select {
 		case <-ctx.Done():
--- a/daemon/entry/neighbors.go
+++ b/daemon/entry/neighbors.go
@@ -102,17 +102,17 @@
 			e.log.Write(event.NewsLost, slog.String("of", h.Name), slog.String("error", err.Error()))
 			continue
 		}
-		hosts = append(hosts, broadcast.Host{Name: h.Name, Hall: h.Hall, Addr: a, Link: h.Link, Number: h.Number})
+		hosts = append(hosts, broadcast.Host{Name: h.Name, Hall: h.Hall, Addr: a, Link: h.Link, StartNumber: h.Number})
 	}
-	return broadcast.NewHosts(broadcast.Host{Name: own.Host, Hall: own.Hall, Link: own.Link, Number: e.number}, hosts)
+	return broadcast.NewHosts(broadcast.Host{Name: own.Host, Hall: own.Hall, Link: own.Link, StartNumber: e.number}, hosts)
 }
 
 // routeNews decides anew by whom this host's news reach the cell.
-func (e *Entry) routeNews(c *broadcast.Chooser, old broadcast.Routes) broadcast.Routes {
+func (e *Entry) routeNews(c *broadcast.RouteChooser, old broadcast.Routes) broadcast.Routes {
 	now := e.clock.Now()
-	r := c.Choose(now, e.neighbors.Load().cell, broadcast.Evidence{
-		Alive: func(number uint32) bool { return e.board.HeardFrom(number, now) },
-		Heard: e.news.Heard,
+	r := c.Choose(now, e.neighbors.Load().cell, broadcast.Liveness{
+		Alive:        func(number uint32) bool { return e.board.HeardFrom(number, now) },
+		LastReceived: e.news.Heard,
 	})
 	e.news.SetRoutes(r)
 	if r.Forwarder != old.Forwarder || !slices.Equal(r.Remote, old.Remote) {
