--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -168,7 +168,7 @@
 }
 
 // News returns at most n records that others may not know.
-func (d *Directory) News(n, members int) []Engine { return d.set.News(n, members) }
+func (d *Directory) News(n, members int) []Engine { return d.set.Updates(n, members) }
 
 // Known says that some other daemon, of so many, has the same records.
-func (d *Directory) Known(members int) { d.set.Known(members) }
+func (d *Directory) Known(members int) { d.set.PeerInSync(members) }
--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -81,10 +81,10 @@
 // Len returns the number of records.
 func (s *Set[T]) Len() int { return len(s.records) }
 
-// Known says that some other daemon, picked at random, has the same records.
+// PeerInSync says that some other daemon, picked at random, has the same records.
 // What is hot has then most likely gone round, and rides less often from now on;
 // whoever lacks it still gets it by a sync.
-func (s *Set[T]) Known(members int) {
+func (s *Set[T]) PeerInSync(members int) {
 	for k := range s.hot {
 		s.sent(k, rides(members)/knownFactor, members)
 	}
@@ -101,9 +101,9 @@
 	}
 }
 
-// News returns at most n hot records, the least sent first, and counts them
+// Updates returns at most n hot records, the least sent first, and counts them
 // as sent. Members is the number of daemons to reach.
-func (s *Set[T]) News(n, members int) []T {
+func (s *Set[T]) Updates(n, members int) []T {
 	if len(s.hot) == 0 {
 		return nil
 	}
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -37,7 +37,7 @@
 func (h *hall) round(n int) {
 	for i, s := range h.sets {
 		other := h.sets[h.random.IntN(len(h.sets))]
-		there, back := s.News(perMessage, len(h.sets)), other.News(perMessage, len(h.sets))
+		there, back := s.Updates(perMessage, len(h.sets)), other.Updates(perMessage, len(h.sets))
 		h.sent += len(there) + len(back)
 		exchange(there, other)
 		exchange(back, s)
@@ -56,7 +56,7 @@
 func (h *hall) sync(a, b *gossip.Set[record]) {
 	if fmt.Sprint(a.All()) == fmt.Sprint(b.All()) {
 		if h.known {
-			a.Known(len(h.sets))
+			a.PeerInSync(len(h.sets))
 		}
 		return
 	}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -216,7 +216,7 @@
 func (t *Table) Len() int { return t.set.Len() }
 
 // Updates returns at most n records that others may not know.
-func (t *Table) Updates(n int) []Member { return t.set.News(n, t.set.Len()) }
+func (t *Table) Updates(n int) []Member { return t.set.Updates(n, t.set.Len()) }
 
 // PeerInSync says that some other daemon has the same records.
-func (t *Table) PeerInSync() { t.set.Known(t.set.Len()) }
+func (t *Table) PeerInSync() { t.set.PeerInSync(t.set.Len()) }
