--- a/core/prefix/prefix.go
+++ b/core/prefix/prefix.go
@@ -3,7 +3,7 @@
 //
 // A prompt is cut into blocks of [BlockBytes]. The name of a block is the hash
 // of everything up to its end, so equal names mean equal prefixes. A prompt
-// of a million tokens has thousands of blocks; [Marks] picks a few of them at
+// of a million tokens has thousands of blocks; [LookupLengths] picks a few of them at
 // growing distances, which fit into one small message and still find the
 // cached length to within a factor of two.
 //
@@ -53,9 +53,9 @@
 	return out
 }
 
-// Marks returns the counts of blocks, rising, at which a chain of n blocks is
+// LookupLengths returns the counts of blocks, rising, at which a chain of n blocks is
 // looked up: every power of two below n, and n itself.
-func Marks(n int) []int {
+func LookupLengths(n int) []int {
 	var out []int
 	for step := 1; step < n; step *= 2 {
 		out = append(out, step)
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -115,7 +115,7 @@
 
 // NewMarks returns the marks of a chain of block names.
 func NewMarks(chain []uint64) []Mark {
-	ns := prefix.Marks(len(chain))
+	ns := prefix.LookupLengths(len(chain))
 	ms := make([]Mark, len(ns))
 	for i, n := range ns {
 		ms[i] = Mark{Blocks: n, Name: chain[n-1]}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -113,7 +113,7 @@
 			x := route.NewIndex()
 			x.Resync(chain[:min(cached, length)], 1)
 			want := 0
-			for _, m := range prefix.Marks(length) {
+			for _, m := range prefix.LookupLengths(length) {
 				if m <= cached {
 					want = max(want, m)
 				}
--- a/daemon/peers/convert.go
+++ b/daemon/peers/convert.go
@@ -120,7 +120,7 @@
 		Deadline:  now.Add(time.Duration(w.GetBudgetMs()) * time.Millisecond),
 	}
 	names := w.GetMarks()
-	for i, n := range prefix.Marks(int(w.GetBlocks())) {
+	for i, n := range prefix.LookupLengths(int(w.GetBlocks())) {
 		if i < len(names) {
 			p.Marks = append(p.Marks, route.Mark{Blocks: n, Name: names[i]})
 		}
