--- a/core/backend/backend.go
+++ b/core/backend/backend.go
@@ -1,17 +1,17 @@
-// Package backend knows the backend servers of a site: which there are, and
-// which may get new work.
+// Package backend keeps the registry of a site's backend servers: which exist, and
+// which accept new work.
 //
-// A [Registry] takes in what the platform's list says, row by row, and never goes
-// back to an older row. Entries lapse by themselves while the platform is
-// away, so one that is gone right after an outage is kept for a short while:
-// if the server lives, its entry returns.
+// A [Registry] is updated row by row from the platform's list, and ignores rows that
+// are older than the one it has. Entries lapse by themselves during an outage of the
+// platform, so an entry that is missing right after one is retained for a short grace
+// period: if the server is alive, its entry returns.
 //
 // # Usage
 //
-//	b := backend.NewBook()
-//	b.Put(server, revision)
-//	b.Remove(id, revision, now)
-//	v := b.View(now)          // immutable
+//	r := backend.NewRegistry()
+//	r.Put(server, revision)
+//	r.Remove(id, revision, now)
+//	v := r.View(now)          // immutable
 //	for _, s := range v.Ready("service") { ... }
 package backend
 
@@ -22,44 +22,45 @@
 	"time"
 )
 
-// lapseGrace is how long after the platform's return a missing entry may
-// still come back. The users' pages say about two seconds.
+// lapseGrace is how long after the platform's return a missing entry may still be
+// restored. The user documentation says about two seconds.
 const lapseGrace = 2200 * time.Millisecond
 
-// The changes of a server.
+// Kinds of changes of a server.
 const (
-	// Draining says that it is leaving, and Unreadable that its entry can't be used.
+	// Draining means that the server is leaving, and Unreadable that its entry can't
+	// be parsed.
 	Draining, Unreadable ChangeKind = "drains", "unreadable"
-	// Removed says that its entry has gone. Retained says the same of an entry that may
-	// have lapsed: the server gets work until it is Expired or Restored.
+	// Removed means that the server's entry is gone. Retained means the same of an
+	// entry that may have lapsed: the server gets work until it is Expired or Restored.
 	Removed, Retained, Expired, Restored ChangeKind = "gone", "kept", "dropped", "back"
 )
 
 type (
 	// Server is one start of a backend server.
 	Server struct {
-		// ID names this start: all that is known of a server by its ID, placed
-		// there or held against it, belongs to one start and ends with it.
+		// ID identifies this start. All state kept by a server's ID, such as its
+		// placements and failures, belongs to one start and ends with it.
 		ID string
-		// Name is the platform's ID, which the server keeps when it starts again;
-		// "" if that is ID.
+		// Name is the platform's ID, which the server keeps across restarts; empty if
+		// it equals ID.
 		Name string
-		// StartedMillis is when it started, in Unix milliseconds; 0 if it doesn't say.
+		// StartedMillis is the start time in Unix milliseconds, 0 if unknown.
 		StartedMillis int64
-		// Service is the name of what it serves.
+		// Service is the name of the service that it provides.
 		Service string
-		// Addr is an IP number and a port. After the server's end it may
-		// belong to another.
+		// Addr is an IP address and a port. It may be reused by another server after
+		// this one has ended.
 		Addr string
 		// Hall is the data hall in which it runs.
 		Hall string
-		// Slots is how many requests it works on at once.
+		// Slots is the number of requests that it processes concurrently.
 		Slots int
-		// Draining servers take no new work.
+		// Draining servers accept no new work.
 		Draining bool
 	}
 
-	// ChangeKind is what becomes of a server that gets new work, or of one that gets none.
+	// ChangeKind says how a server began or ceased to leave.
 	ChangeKind string
 
 	// Change is a change of one server, for the log.
@@ -68,24 +69,24 @@
 		Kind ChangeKind
 	}
 
-	// Registry collects the entries. One goroutine owns it.
+	// Registry holds the servers' entries. It is not safe for concurrent use.
 	Registry struct {
 		entries  map[string]entry // by the platform's ID
-		returned time.Duration    // when the platform was last back
-		leaving  []Change         // since they were asked for last
+		returned time.Duration    // when the platform last returned from an outage
+		changes  []Change         // since the last call of TakeChanges
 	}
 
 	entry struct {
 		server   Server
 		revision int64
 		gone     bool
-		// until is when the grace is over of one that has gone and may have lapsed;
-		// 0 for others. It stays so if the return that it runs from is told again:
-		// each word of it would keep a server that left.
-		until time.Duration
+		// graceEnd is when the grace period ends of an entry that is gone and may have
+		// lapsed; 0 for others. Later reports of the same return of the platform don't
+		// move it: each would prolong the grace of a server that has left.
+		graceEnd time.Duration
 	}
 
-	// View is an immutable picture of all servers.
+	// View is an immutable snapshot of all servers.
 	View struct {
 		byService map[string][]Server
 		byID      map[string]Server
@@ -94,109 +95,111 @@
 	}
 )
 
-// NewRegistry returns an empty book.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{entries: map[string]entry{}, returned: -time.Hour} }
 
-// PlatformReturned notes that the platform answers again after an outage. Entries
-// that turn out to be gone from now on, and for a short while, may have lapsed.
-func (b *Registry) PlatformReturned(now time.Duration) { b.returned = now }
+// PlatformReturned records that the platform answers again after an outage. Entries
+// found to be gone within the grace period from now may have lapsed.
+func (r *Registry) PlatformReturned(now time.Duration) { r.returned = now }
 
-// PlatformID is the ID by which the platform knows the server, in all its starts.
+// PlatformID returns the ID by which the platform knows the server, the same for all
+// its starts.
 func (s Server) PlatformID() string { return cmp.Or(s.Name, s.ID) }
 
-// Put takes in an entry, and reports whether it changed what is known. What an
-// earlier start wrote late doesn't take the place of a later one.
-func (b *Registry) Put(s Server, revision int64) bool {
-	old, ok := b.entries[s.PlatformID()]
+// Put adds or replaces an entry, and reports whether that changed the registry. A row
+// of an earlier start never replaces that of a later one, even at a higher revision.
+func (r *Registry) Put(s Server, revision int64) bool {
+	old, ok := r.entries[s.PlatformID()]
 	if ok && (old.revision >= revision || s.StartedMillis < old.server.StartedMillis) {
 		return false
 	}
-	b.entries[s.PlatformID()] = entry{server: s, revision: revision}
+	r.entries[s.PlatformID()] = entry{server: s, revision: revision}
 	switch {
 	case ok && !old.gone && s.Draining && !old.server.Draining:
-		b.note(s, Draining)
+		r.addChange(s, Draining)
 	case ok && old.gone && !s.Draining:
-		b.note(s, Restored)
+		r.addChange(s, Restored)
 	}
 	return !ok || old.gone || old.server != s
 }
 
-// note keeps a change for the log.
-func (b *Registry) note(s Server, c ChangeKind) { b.leaving = append(b.leaving, Change{s.ID, c}) }
+// addChange records a change for the log.
+func (r *Registry) addChange(s Server, k ChangeKind) { r.changes = append(r.changes, Change{s.ID, k}) }
 
-// TakeChanges returns how servers began and ceased to leave since the last call.
-func (b *Registry) TakeChanges() []Change {
-	l := b.leaving
-	b.leaving = nil
-	return l
+// TakeChanges returns the changes since the last call.
+func (r *Registry) TakeChanges() []Change {
+	c := r.changes
+	r.changes = nil
+	return c
 }
 
-// MarkUnreadable takes in that a server's entry can't be used: the server gets no new work
-// until it can. It reports whether that changed what is known.
-func (b *Registry) MarkUnreadable(id string, revision int64) bool {
-	old, ok := b.entries[id]
+// MarkUnreadable records that a server's entry can't be parsed: the server gets no new
+// work until it can. It reports whether that changed the registry.
+func (r *Registry) MarkUnreadable(id string, revision int64) bool {
+	old, ok := r.entries[id]
 	if !ok || old.gone || old.revision >= revision {
 		return false
 	}
 	changed := !old.server.Draining
 	old.revision, old.server.Draining = revision, true
-	b.entries[id] = old
+	r.entries[id] = old
 	if changed {
-		b.note(old.server, Unreadable)
+		r.addChange(old.server, Unreadable)
 	}
 	return changed
 }
 
-// Remove takes in that an entry is gone, and reports whether that was new.
-func (b *Registry) Remove(id string, revision int64, now time.Duration) bool {
-	old, ok := b.entries[id]
+// Remove records that an entry is gone, and reports whether that changed the registry.
+func (r *Registry) Remove(id string, revision int64, now time.Duration) bool {
+	old, ok := r.entries[id]
 	if !ok || old.gone || old.revision > revision {
 		return false
 	}
 	old.revision, old.gone = revision, true
-	change := Removed
-	if until := b.returned + lapseGrace; !old.server.Draining && now < until {
-		old.until, change = until, Retained
+	kind := Removed
+	if end := r.returned + lapseGrace; !old.server.Draining && now < end {
+		old.graceEnd, kind = end, Retained
 	}
-	b.entries[id] = old
-	b.note(old.server, change)
+	r.entries[id] = old
+	r.addChange(old.server, kind)
 	return true
 }
 
-// RemoveMissing takes in a whole list: what it lacks is gone.
-func (b *Registry) RemoveMissing(present map[string]bool, revision int64, now time.Duration) bool {
+// RemoveMissing removes all entries that a complete list doesn't contain, and reports
+// whether that changed the registry.
+func (r *Registry) RemoveMissing(present map[string]bool, revision int64, now time.Duration) bool {
 	changed := false
-	for id := range b.entries {
-		if !present[id] && b.Remove(id, revision, now) {
+	for id := range r.entries {
+		if !present[id] && r.Remove(id, revision, now) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// HasRetained reports whether servers are kept whose entries lapsed.
-func (b *Registry) HasRetained() bool {
-	for _, e := range b.entries {
-		if e.until > 0 {
+// HasRetained reports whether any server is retained whose entry may have lapsed.
+func (r *Registry) HasRetained() bool {
+	for _, e := range r.entries {
+		if e.graceEnd > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// View returns what is known now. Servers whose grace is over are forgotten.
-func (b *Registry) View(now time.Duration) *View {
+// View returns a snapshot of the servers. It drops servers whose grace period is over.
+func (r *Registry) View(now time.Duration) *View {
 	v := &View{
 		byService: map[string][]Server{},
 		byID:      map[string]Server{}, byName: map[string]Server{}, byAddr: map[string]Server{},
 	}
-	for id, e := range b.entries {
-		if e.until > 0 && now >= e.until {
-			b.note(e.server, Expired)
-			e.until = 0
-			b.entries[id] = e
+	for id, e := range r.entries {
+		if e.graceEnd > 0 && now >= e.graceEnd {
+			r.addChange(e.server, Expired)
+			e.graceEnd = 0
+			r.entries[id] = e
 		}
-		if e.gone && e.until == 0 {
+		if e.gone && e.graceEnd == 0 {
 			continue
 		}
 		v.byID[e.server.ID] = e.server
@@ -212,29 +215,28 @@
 	return v
 }
 
-// Ready returns the servers of a service that take new work, by ID.
+// Ready returns the servers of a service that accept new work, sorted by ID.
 func (v *View) Ready(service string) []Server { return v.byService[service] }
 
-// Get returns a server, also one that is draining.
+// Get returns the server with the ID of a start, including draining ones.
 func (v *View) Get(id string) (Server, bool) {
 	s, ok := v.byID[id]
 	return s, ok
 }
 
-// Current returns the newest start of the server that the platform knows by an ID.
+// Current returns the newest start of the server with the platform's ID.
 func (v *View) Current(platformID string) (Server, bool) {
 	s, ok := v.byName[platformID]
 	return s, ok
 }
 
-// Replaced reports whether a start of a server is over since a later one is known.
+// Replaced reports whether the view has another, later start of the server.
 func (v *View) Replaced(s Server) bool {
-	now, ok := v.byName[s.PlatformID()]
-	return ok && now.ID != s.ID
+	current, ok := v.byName[s.PlatformID()]
+	return ok && current.ID != s.ID
 }
 
-// Find returns the server with this ID, of the platform's or of a start, or with
-// this address.
+// Find returns the server with the given ID of a start, platform's ID, or address.
 func (v *View) Find(name string) (Server, bool) {
 	if s, ok := v.byID[name]; ok {
 		return s, true
@@ -246,23 +248,23 @@
 	return s, ok
 }
 
-// AcceptsWork reports whether a server may still get new work.
+// AcceptsWork reports whether a server may get new work.
 func (v *View) AcceptsWork(id string) bool {
 	s, ok := v.byID[id]
 	return ok && !s.Draining
 }
 
-// HasAddr reports whether any known server has the address.
+// HasAddr reports whether any server has the address.
 func (v *View) HasAddr(addr string) bool {
 	_, ok := v.byAddr[addr]
 	return ok
 }
 
-// Services returns the names of all services that have ready servers.
+// Services returns the sorted names of all services that have ready servers.
 func (v *View) Services() []string { return slices.Sorted(maps.Keys(v.byService)) }
 
-// IDs returns the IDs of all servers, also of those that are draining.
+// IDs returns the IDs of all servers, including draining ones, in no particular order.
 func (v *View) IDs() []string { return slices.Collect(maps.Keys(v.byID)) }
 
-// Len returns how many servers are known.
+// Len returns the number of servers.
 func (v *View) Len() int { return len(v.byID) }
