--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -7,7 +7,7 @@
 	"slipcrank.example/core/cell"
 )
 
-func hosts(n int) []string {
+func hostNames(n int) []string {
 	var hs []string
 	for i := range n {
 		hs = append(hs, fmt.Sprintf("host-%d", i))
@@ -16,21 +16,21 @@
 }
 
 func TestCount(t *testing.T) {
-	for name, tc := range map[string]struct{ servers, old, want int }{
-		"none":                         {0, 1, 1},
-		"a usual site":                 {18, 1, 1},
-		"below two cells":              {95, 1, 1},
-		"two cells":                    {96, 1, 2},
-		"a little below them":          {80, 2, 2},
-		"far below them":               {60, 2, 1},
-		"three hundred":                {300, 1, 4},
-		"three thousand":               {3000, 1, 32},
-		"three thousand less a few":    {2990, 32, 32},
-		"half of three thousand gone":  {1500, 64, 16},
-		"a hall of three thousand out": {2000, 32, 32},
+	for name, tc := range map[string]struct{ servers, current, want int }{
+		"none":                          {0, 1, 1},
+		"a small site":                  {18, 1, 1},
+		"just below two cells":          {95, 1, 1},
+		"two cells":                     {96, 1, 2},
+		"two cells, a few servers gone": {80, 2, 2},
+		"two cells, many servers gone":  {60, 2, 1},
+		"three hundred":                 {300, 1, 4},
+		"three thousand":                {3000, 1, 32},
+		"three thousand, a few gone":    {2990, 32, 32},
+		"three thousand, half gone":     {1500, 64, 16},
+		"three thousand, a hall down":   {2000, 32, 32},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := cell.Count(tc.servers, tc.old); got != tc.want {
+			if got := cell.Count(tc.servers, tc.current); got != tc.want {
 				t.Errorf("%d cells, want %d", got, tc.want)
 			}
 		})
@@ -38,36 +38,36 @@
 }
 
 func TestHostsAreSpreadEvenly(t *testing.T) {
-	for name, tc := range map[string]struct{ hosts, count, least, most int }{
-		"one cell":    {90, 1, 90, 90},
-		"a few cells": {30, 4, 7, 8},
-		"many":        {300, 32, 9, 10},
+	for name, tc := range map[string]struct{ hosts, count, min, max int }{
+		"one cell":   {90, 1, 90, 90},
+		"four cells": {30, 4, 7, 8},
+		"32 cells":   {300, 32, 9, 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all, members := hosts(tc.hosts), map[int]int{}
+			all, sizes := hostNames(tc.hosts), map[int]int{}
 			for _, h := range all {
-				mine, mates := cell.OfHost(h, all, tc.count)
-				members[mine]++
-				if len(mates)+1 < tc.least || len(mates)+1 > tc.most || mates[h] {
-					t.Errorf("%s is in a cell of %d, want %d to %d", h, len(mates)+1, tc.least, tc.most)
+				own, peers := cell.OfHost(h, all, tc.count)
+				sizes[own]++
+				if len(peers)+1 < tc.min || len(peers)+1 > tc.max || peers[h] {
+					t.Errorf("%s is in a cell of %d, want %d to %d", h, len(peers)+1, tc.min, tc.max)
 				}
 			}
-			if len(members) != tc.count {
-				t.Errorf("%d cells have hosts, want %d", len(members), tc.count)
+			if len(sizes) != tc.count {
+				t.Errorf("%d cells have hosts, want %d", len(sizes), tc.count)
 			}
 		})
 	}
 }
 
-func TestHostThatGoesMovesFew(t *testing.T) {
+func TestRemovedHostMovesFewOthers(t *testing.T) {
 	const count = 32
-	all := hosts(300)
-	for gone := range 20 {
-		left := append(append([]string(nil), all[:gone]...), all[gone+1:]...)
+	all := hostNames(300)
+	for removed := range 20 {
+		remaining := append(append([]string(nil), all[:removed]...), all[removed+1:]...)
 		moved := 0
-		for _, h := range left {
+		for _, h := range remaining {
 			before, _ := cell.OfHost(h, all, count)
-			after, _ := cell.OfHost(h, left, count)
+			after, _ := cell.OfHost(h, remaining, count)
 			if before != after {
 				moved++
 			}
@@ -76,7 +76,7 @@
 			}
 		}
 		if moved > count {
-			t.Errorf("%d hosts moved as one went, want at most %d", moved, count)
+			t.Errorf("%d hosts moved when one was removed, want at most %d", moved, count)
 		}
 	}
 }
