--- a/core/prefix/prefix.go
+++ b/core/prefix/prefix.go
@@ -1,16 +1,16 @@
-// Package prefix names the prefixes of prompts, so that requests can be sent
-// where a prefix is cached already.
+// Package prefix computes hashes of prompt prefixes, so that requests can be routed to
+// engines that have a prefix cached.
 //
-// A prompt is cut into blocks of [BlockBytes]. The name of a block is the hash
-// of everything up to its end, so equal names mean equal prefixes. A prompt
-// of a million tokens has thousands of blocks; [LookupLengths] picks a few of them at
-// growing distances, which fit into one small message and still find the
+// A prompt is divided into blocks of [BlockBytes]. Each block is identified by the hash
+// of the prompt up to the block's end, so equal hashes mean equal prefixes. A prompt of
+// a million tokens has thousands of blocks. [LookupLengths] selects a few of them at
+// growing distances; their hashes fit into one small message, and still determine the
 // cached length to within a factor of two.
 //
 // # Usage
 //
-//	chain := prefix.Chain(prompt)
-//	for _, blocks := range prefix.Marks(len(chain)) { use(chain[blocks-1]) }
+//	chain := prefix.Chain(model, prompt)
+//	for _, blocks := range prefix.LookupLengths(len(chain)) { use(chain[blocks-1]) }
 package prefix
 
 import (
@@ -28,11 +28,12 @@
 	BlockBytes = BlockTokens * BytesPerToken
 )
 
-// Tokens estimates the length of a text in tokens, rounded up.
+// Tokens estimates the number of tokens in a text of the given length in bytes,
+// rounded up.
 func Tokens(bytes int) int { return (bytes + BytesPerToken - 1) / BytesPerToken }
 
-// Chain returns the names of the whole blocks of a prompt. Model is part of
-// each name, since engines cache for one model at a time.
+// Chain returns the hashes of the complete blocks of a prompt. The model is part of
+// each hash, since an engine caches for one model at a time.
 func Chain(model, prompt string) []uint64 {
 	n := len(prompt) / BlockBytes
 	if n == 0 {
@@ -53,12 +54,12 @@
 	return out
 }
 
-// LookupLengths returns the counts of blocks, rising, at which a chain of n blocks is
-// looked up: every power of two below n, and n itself.
+// LookupLengths returns the prefix lengths, in blocks and ascending, at which a chain
+// of n blocks is looked up: every power of two below n, and n itself.
 func LookupLengths(n int) []int {
 	var out []int
-	for step := 1; step < n; step *= 2 {
-		out = append(out, step)
+	for length := 1; length < n; length *= 2 {
+		out = append(out, length)
 	}
 	if n > 0 {
 		out = append(out, n)
