--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -11,8 +11,8 @@
 	"slipcrank.example/core/member"
 )
 
-// syncEvery is how many seconds lie between two syncs of a member.
-const syncEvery = 15
+// syncSeconds is the interval between two syncs of a member.
+const syncSeconds = 15
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
@@ -20,7 +20,7 @@
 	return member.Member{Addr: addr, Hall: "a", Incarnation: incarnation}
 }
 
-// fleet is a few tables that exchange news, with cuts between them.
+// fleet simulates members that ping each other and exchange updates.
 type fleet struct {
 	tables map[string]*member.Table
 	down   map[string]bool
@@ -40,8 +40,8 @@
 	return f
 }
 
-// second lets each living member ping once.
-func (f *fleet) second() {
+// step advances the time by a second, in which each living member pings once.
+func (f *fleet) step() {
 	f.now = f.now.Add(time.Second)
 	f.round++
 	for i, a := range slices.Sorted(maps.Keys(f.tables)) {
@@ -50,7 +50,7 @@
 			continue
 		}
 		t.Tick(f.now)
-		if (f.round+i)%syncEvery == 0 {
+		if (f.round+i)%syncSeconds == 0 {
 			f.sync(t)
 		}
 		b, ok := t.NextPing(f.random)
@@ -70,7 +70,7 @@
 	}
 }
 
-// sync exchanges everything with one other member, as daemons do now and then.
+// sync exchanges all records with one other member, as daemons do periodically.
 func (f *fleet) sync(t *member.Table) {
 	for _, b := range t.RandomAlive(1, f.random, func(member.Member) bool { return true }) {
 		if f.down[b] {
@@ -85,44 +85,44 @@
 	}
 }
 
-// agree reports whether all living members see exactly the living alive.
+// agree reports whether all living members list exactly the living ones as alive.
 func (f *fleet) agree() bool {
 	for a, t := range f.tables {
 		if f.down[a] {
 			continue
 		}
-		seen := 0
+		listed := 0
 		for _, m := range t.All() {
 			if m.Status == member.Alive {
 				if f.down[m.Addr] {
 					return false
 				}
-				seen++
+				listed++
 			}
 		}
-		if seen != len(f.tables)-len(f.down) {
+		if listed != len(f.tables)-len(f.down) {
 			return false
 		}
 	}
 	return true
 }
 
-func TestFleetAgreesAfterDeaths(t *testing.T) {
+func TestFleetConvergesAfterDeaths(t *testing.T) {
 	for name, tc := range map[string]struct{ members, deaths, within int }{
-		"today's size":      {8, 2, 20},
-		"a third of 32":     {32, 10, 40},
-		"a hall of 74":      {74, 3, 60},
-		"a third of a hall": {74, 24, 60},
-		"two, one of them":  {2, 1, 10},
-		"nobody dies":       {20, 0, 30},
+		"8 members":         {8, 2, 20},
+		"a third of 32 die": {32, 10, 40},
+		"a few of 74 die":   {74, 3, 60},
+		"a third of 74 die": {74, 24, 60},
+		"one of two dies":   {2, 1, 10},
+		"none dies":         {20, 0, 30},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(tc.members, 3)
 			for range 40 {
-				f.second()
+				f.step()
 			}
 			if !f.agree() {
-				t.Fatal("the members don't know each other after 40 s")
+				t.Fatal("the members don't agree 40 s after the start")
 			}
 			for i := range tc.deaths {
 				f.down[fmt.Sprintf("m%02d", i+1)] = true
@@ -132,14 +132,14 @@
 				if took > tc.within {
 					t.Fatalf("no agreement within %d s of the deaths", tc.within)
 				}
-				f.second()
+				f.step()
 			}
 			t.Logf("%d members agree on %d deaths after %d s", tc.members, tc.deaths, took)
 		})
 	}
 }
 
-func TestSuspectedMemberContradicts(t *testing.T) {
+func TestSuspectedMemberRefutes(t *testing.T) {
 	a, b := member.New(alive("a", 1)), member.New(alive("b", 1))
 	a.Merge(alive("b", 1), start)
 	b.Merge(alive("a", 1), start)
@@ -153,7 +153,7 @@
 	a.Tick(start.Add(time.Hour))
 	for _, m := range a.All() {
 		if m.Status != member.Alive {
-			t.Errorf("%s is %v though it contradicted", m.Addr, m.Status)
+			t.Errorf("%s is %v although it refuted the suspicion", m.Addr, m.Status)
 		}
 	}
 }
@@ -164,15 +164,15 @@
 	a.PingFailed("b", start)
 	a.Tick(start.Add(member.SuspicionTimeout))
 	if !a.Merge(alive("b", 2), start.Add(time.Minute)) {
-		t.Error("a restarted host is not taken as a new member")
+		t.Error("a restarted host is not accepted as a new member")
 	}
 	if a.Merge(member.Member{Addr: "b", Hall: "a", Incarnation: 1, Revision: 9, Status: member.Dead}, start) {
-		t.Error("late news of its old life counts against its new one")
+		t.Error("a late record of the previous incarnation replaces the current one")
 	}
 	back := member.New(alive("c", 5))
 	back.Merge(member.Member{Addr: "c", Hall: "a", Incarnation: 9, Status: member.Dead}, start)
 	if got := back.Self().Incarnation; got <= 9 {
-		t.Errorf("a host whose clock went back stays at incarnation %d under its old 9", got)
+		t.Errorf("a host whose clock went back has incarnation %d, not above its previous 9", got)
 	}
 }
 
@@ -183,7 +183,7 @@
 	a.PingFailed("b", start)
 	for _, m := range a.All() {
 		if m.Addr == "b" && m.Status != member.Dead {
-			t.Errorf("a member that said it would go is %v", m.Status)
+			t.Errorf("a member that announced its departure and doesn't answer is %v, want dead", m.Status)
 		}
 	}
 }
