--- a/core/broadcast/broadcast.go
+++ b/core/broadcast/broadcast.go
@@ -1,21 +1,21 @@
-// Package broadcast decides by which hosts news reaches all hosts of a large
+// Package broadcast chooses the routes by which updates reach all hosts of a large
 // cell.
 //
-// Where each host tells each other one, what a host sends and hears grows with
-// the hosts of its cell, although each serves less than one request a second:
-// 147 hosts with 133 requests a second cost each of them 700 datagrams a second
-// in both directions. Beyond [directHosts] others, a host tells one forwarder
-// of its data hall, which passes news on in batches, to the hosts of its hall
-// and to a forwarder of each other hall. Who forwards is no role: each host
-// works it out by itself from who is there, wide links first, and any host
-// passes on what it is asked to. A forwarder that falls silent is replaced by
-// the next; what was told meanwhile is lost, as datagrams may be.
+// If each host sends its updates to all others, its traffic grows with the number of
+// hosts in the cell, although each host serves less than one request per second: with
+// 147 hosts and 133 requests/s, each host handled 700 datagrams/s in both directions.
+// With more than [maxDirectHosts] others, a host sends its updates to a forwarder in
+// its data hall, which forwards them in batches to the hosts of its hall and to a
+// forwarder in each other hall. There is no election: each host computes the forwarders
+// from the hosts that are alive, those with the fastest links first, and any host
+// forwards what it receives for forwarding. A forwarder that falls silent is replaced by
+// the next host; updates sent to it in the meantime are lost, like any datagram may be.
 //
 // # Usage
 //
 //	hosts := broadcast.NewHosts(own, others)    // on each change of the cell
-//	c := broadcast.NewChooser()
-//	routes := c.Choose(now, hosts, broadcast.Evidence{Alive: ..., Heard: ...})
+//	c := broadcast.NewRouteChooser()
+//	routes := c.Choose(now, hosts, broadcast.Liveness{Alive: ..., LastReceived: ...})
 package broadcast
 
 import (
@@ -27,19 +27,19 @@
 )
 
 const (
-	// directHosts is up to how many others a host tells its news by itself.
-	// With as many, it sends and hears about as many datagrams a second as
-	// forwarders would send it batches.
-	directHosts = 32
-	// rankKey is what the hosts of a hall are ranked by.
+	// maxDirectHosts is the maximum number of other hosts to which a host sends its
+	// updates directly. With as many, it sends and receives about as many datagrams
+	// per second as it would receive batches from forwarders.
+	maxDirectHosts = 32
+	// rankKey is the key by which the hosts of a hall are ranked.
 	rankKey = "forwarders"
-	// silence is how long a forwarder may say nothing to a host that tells it
-	// news: 30 times the pause between its batches, and more than each host
-	// of its hall says nothing.
-	silence = 600 * time.Millisecond
-	// lostTime is how long a silent forwarder isn't tried again. Each try costs
-	// the news of silence.
-	lostTime = 5 * time.Second
+	// forwarderTimeout is how long a forwarder may send nothing to a host that sends it
+	// updates: 30 times the interval between its batches, and longer than the interval
+	// at which every host of its hall sends at least a heartbeat.
+	forwarderTimeout = 600 * time.Millisecond
+	// retryDelay is how long a silent forwarder is excluded. Each retry loses the
+	// updates of one forwarderTimeout.
+	retryDelay = 5 * time.Second
 )
 
 type (
@@ -47,56 +47,56 @@
 	Host struct {
 		Name, Hall string
 		Addr       netip.AddrPort
-		// Link is the bandwidth of its link in Mbit/s, 0 if it isn't known.
+		// Link is the bandwidth of its link in Mbit/s, 0 if unknown.
 		Link float64
-		// StartNumber tells its starts apart.
+		// StartNumber distinguishes its starts.
 		StartNumber uint32
 	}
 
-	// Hosts are the hosts of a cell as one of them sees them: an immutable
-	// value.
+	// Hosts is an immutable view of a cell's hosts from one of them.
 	Hosts struct {
-		own    Host
-		others []netip.AddrPort
-		mates  []netip.AddrPort  // the others of the own hall
-		byHall map[string][]Host // in the order in which they are to forward
+		own       Host
+		others    []netip.AddrPort
+		hallPeers []netip.AddrPort  // other hosts of the own hall
+		byHall    map[string][]Host // in order of preference as forwarders
 	}
 
-	// Liveness tells what is known of other hosts.
+	// Liveness reports which hosts are alive.
 	Liveness struct {
-		// Alive reports whether a start of a host told something lately, however
-		// it came here.
+		// Alive reports whether updates of a start of a host arrived recently,
+		// directly or forwarded.
 		Alive func(number uint32) bool
-		// LastReceived is when a datagram came from an address last, zero if never.
+		// LastReceived returns when the last datagram from an address arrived, zero
+		// if none has.
 		LastReceived func(addr netip.AddrPort) time.Duration
 	}
 
-	// Routes are who is told what.
+	// Routes says to which hosts updates are sent.
 	Routes struct {
-		// Direct are all others, if they are told without a forwarder.
+		// Direct lists all other hosts if updates are sent without a forwarder.
 		Direct []netip.AddrPort
-		// Forwarder is the own hall's; not valid if this host forwards itself.
+		// Forwarder is that of the own hall; invalid if this host is the forwarder.
 		Forwarder netip.AddrPort
-		// Hall are the other hosts of the own hall, and Remote the forwarders of
-		// the other halls: whom this host passes news on to.
+		// Hall lists the other hosts of the own hall, and Remote the forwarders of the
+		// other halls. This host forwards to them.
 		Hall, Remote []netip.AddrPort
 	}
 
-	// RouteChooser chooses routes, and remembers which forwarders were lost. It is
-	// for use by one goroutine.
+	// RouteChooser chooses routes, and excludes silent forwarders for a while. It is
+	// not safe for concurrent use.
 	RouteChooser struct {
-		chosen map[string]choice        // by hall
-		lost   map[string]time.Duration // until when, by host
+		forwarders    map[string]forwarder     // by hall
+		excludedUntil map[string]time.Duration // by host
 	}
 
-	// choice is the forwarder of a hall.
-	choice struct {
+	// forwarder is the chosen forwarder of a hall.
+	forwarder struct {
 		name  string
 		since time.Duration
 	}
 )
 
-// NewHosts returns the hosts of a cell: the own one and others.
+// NewHosts returns the view of a cell from the own host, with the other hosts.
 func NewHosts(own Host, others []Host) Hosts {
 	hs := Hosts{own: own, others: addresses(others), byHall: map[string][]Host{}}
 	names, links, byName := map[string][]string{}, map[string]float64{}, map[string]Host{}
@@ -106,7 +106,7 @@
 	}
 	for _, h := range others {
 		if h.Hall == own.Hall {
-			hs.mates = append(hs.mates, h.Addr)
+			hs.hallPeers = append(hs.hallPeers, h.Addr)
 		}
 	}
 	for hall, ns := range names {
@@ -117,31 +117,32 @@
 	return hs
 }
 
-// NewRouteChooser returns a chooser that knows nothing yet.
+// NewRouteChooser returns a chooser without state.
 func NewRouteChooser() *RouteChooser {
-	return &RouteChooser{chosen: map[string]choice{}, lost: map[string]time.Duration{}}
+	return &RouteChooser{forwarders: map[string]forwarder{}, excludedUntil: map[string]time.Duration{}}
 }
 
-// Choose returns who is told what from now on.
-func (c *RouteChooser) Choose(now time.Duration, hs Hosts, e Liveness) Routes {
-	if len(hs.others) <= directHosts {
+// Choose returns the routes for updates sent from now on.
+func (c *RouteChooser) Choose(now time.Duration, hs Hosts, l Liveness) Routes {
+	if len(hs.others) <= maxDirectHosts {
 		return Routes{Direct: hs.others}
 	}
-	out := Routes{Hall: hs.mates}
-	if f := c.forwarder(now, hs.own.Name, hs.byHall[hs.own.Hall], e); f.Name != hs.own.Name {
+	out := Routes{Hall: hs.hallPeers}
+	if f := c.forwarder(now, hs.own.Name, hs.byHall[hs.own.Hall], l); f.Name != hs.own.Name {
 		out.Forwarder = f.Addr
-		// Other halls' forwarders tell the own one and not this host, so it can't
-		// know which of them are silent. Judged all the same, they changed on each
-		// host every 0.75 s, a quarter of all lines of its log (76 hosts, one day).
-		c.forgetOthers(hs.own.Hall)
+		// Forwarders of other halls send to the own hall's forwarder and not to this
+		// host, so it can't tell which of them are silent. When it applied the time-out
+		// to them all the same, the chosen forwarders changed on each host every
+		// 0.75 s, which made up a quarter of all its log lines (76 hosts, one day).
+		c.forgetRemote(hs.own.Hall)
 	}
 	for hall, hosts := range hs.byHall {
 		if hall == hs.own.Hall {
 			continue
 		}
-		f := firstAlive(hosts, e)
+		f := firstAlive(hosts, l)
 		if !out.Forwarder.IsValid() {
-			f = c.forwarder(now, hs.own.Name, hosts, e)
+			f = c.forwarder(now, hs.own.Name, hosts, l)
 		}
 		out.Remote = append(out.Remote, f.Addr)
 	}
@@ -149,49 +150,49 @@
 	return out
 }
 
-// forgetOthers forgets which forwarders were chosen in other halls than the own
-// one: who begins to forward gives each of them time to be heard.
-func (c *RouteChooser) forgetOthers(own string) {
-	for hall := range c.chosen {
+// forgetRemote forgets the chosen forwarders of all halls but the own one. When this
+// host becomes a forwarder, each of them gets a full time-out to send something.
+func (c *RouteChooser) forgetRemote(own string) {
+	for hall := range c.forwarders {
 		if hall != own {
-			delete(c.chosen, hall)
+			delete(c.forwarders, hall)
 		}
 	}
 }
 
-// firstAlive returns the first host that is there, or the very first if none is.
-func firstAlive(hosts []Host, e Liveness) Host {
-	i := slices.IndexFunc(hosts, func(h Host) bool { return e.Alive(h.StartNumber) })
+// firstAlive returns the first host that is alive, or the first of all if none is.
+func firstAlive(hosts []Host, l Liveness) Host {
+	i := slices.IndexFunc(hosts, func(h Host) bool { return l.Alive(h.StartNumber) })
 	return hosts[max(i, 0)]
 }
 
-// forwarder chooses the forwarder of a hall: the first of its hosts that is
-// there, or the very first if none is.
-func (c *RouteChooser) forwarder(now time.Duration, own string, hosts []Host, e Liveness) Host {
+// forwarder chooses the forwarder of a hall: the first of its hosts that is this host
+// or is alive and not excluded, or the first of all if there is none.
+func (c *RouteChooser) forwarder(now time.Duration, own string, hosts []Host, l Liveness) Host {
 	best := hosts[0]
 	for _, h := range hosts {
-		if h.Name == own || e.Alive(h.StartNumber) && !c.isLost(now, h, e) {
+		if h.Name == own || l.Alive(h.StartNumber) && !c.excluded(now, h, l) {
 			best = h
 			break
 		}
 	}
-	if c.chosen[best.Hall].name != best.Name {
-		c.chosen[best.Hall] = choice{best.Name, now}
+	if c.forwarders[best.Hall].name != best.Name {
+		c.forwarders[best.Hall] = forwarder{best.Name, now}
 	}
 	return best
 }
 
-// isLost reports whether a host is known not to forward: it was told news and
-// has said nothing since.
-func (c *RouteChooser) isLost(now time.Duration, h Host, e Liveness) bool {
-	if now < c.lost[h.Name] {
+// excluded reports whether a host is excluded as a forwarder. It excludes the chosen
+// forwarder of a hall if that has sent nothing for forwarderTimeout.
+func (c *RouteChooser) excluded(now time.Duration, h Host, l Liveness) bool {
+	if now < c.excludedUntil[h.Name] {
 		return true
 	}
-	chosen := c.chosen[h.Hall]
-	if chosen.name != h.Name || now-max(chosen.since, e.LastReceived(h.Addr)) <= silence {
+	chosen := c.forwarders[h.Hall]
+	if chosen.name != h.Name || now-max(chosen.since, l.LastReceived(h.Addr)) <= forwarderTimeout {
 		return false
 	}
-	c.lost[h.Name] = now + lostTime
+	c.excludedUntil[h.Name] = now + retryDelay
 	return true
 }
 
--- a/core/broadcast/broadcast_test.go
+++ b/core/broadcast/broadcast_test.go
@@ -12,7 +12,7 @@
 
 const halls = 5
 
-// host is the host of a number. The first of each hall has a wide link.
+// host returns host number n. The first host of each hall has a faster link.
 func host(n int) broadcast.Host {
 	link := 20.0
 	if n < halls {
@@ -24,8 +24,8 @@
 	}
 }
 
-// seen are the hosts of a fleet as one of them sees them.
-func seen(own, count int) broadcast.Hosts {
+// viewFrom returns the view of a cell of count hosts from host number own.
+func viewFrom(own, count int) broadcast.Hosts {
 	var others []broadcast.Host
 	for n := range count {
 		if n != own {
@@ -35,11 +35,11 @@
 	return broadcast.NewHosts(host(own), others)
 }
 
-// without is the evidence that all hosts are there but some, of which nothing
-// was heard.
-func without(gone ...int) broadcast.Liveness {
+// allAliveBut returns a Liveness in which all hosts are alive and sending, except those
+// with the given numbers, from which nothing has been received.
+func allAliveBut(numbers ...int) broadcast.Liveness {
 	dead := map[netip.AddrPort]bool{}
-	for _, n := range gone {
+	for _, n := range numbers {
 		dead[host(n).Addr] = true
 	}
 	return broadcast.Liveness{
@@ -53,51 +53,51 @@
 	}
 }
 
-func TestSmallCellsAreToldDirectly(t *testing.T) {
+func TestSmallCellsSendDirectly(t *testing.T) {
 	for count, direct := range map[int]int{9: 8, 33: 32, 34: 0, 147: 0} {
-		if r := broadcast.NewRouteChooser().Choose(0, seen(7, count), without()); len(r.Direct) != direct {
-			t.Errorf("of %d hosts %d are told directly, want %d", count, len(r.Direct), direct)
+		if r := broadcast.NewRouteChooser().Choose(0, viewFrom(7, count), allAliveBut()); len(r.Direct) != direct {
+			t.Errorf("with %d hosts, %d get updates directly, want %d", count, len(r.Direct), direct)
 		}
 	}
 }
 
-// TestNewsReachEachHost follows news of each host over the routes that all
-// hosts choose.
-func TestNewsReachEachHost(t *testing.T) {
+// TestUpdatesReachEachHostOnce follows an update from each host along the routes that
+// the hosts choose.
+func TestUpdatesReachEachHostOnce(t *testing.T) {
 	const count = 147
-	for name, tc := range map[string]struct{ gone []int }{
-		"all are there":                       {nil},
-		"a wide host of each hall has gone":   {[]int{0, 1, 2, 3, 4}},
-		"half of a hall and a wide host gone": {[]int{1, 0, 5, 10, 15, 20, 25, 30, 35, 40, 45, 50, 55, 60}},
+	for name, tc := range map[string]struct{ down []int }{
+		"all alive":                           {nil},
+		"fastest host of each hall down":      {[]int{0, 1, 2, 3, 4}},
+		"half of a hall and a fast host down": {[]int{1, 0, 5, 10, 15, 20, 25, 30, 35, 40, 45, 50, 55, 60}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := without(tc.gone...)
+			l := allAliveBut(tc.down...)
 			routes := map[netip.AddrPort]broadcast.Routes{}
 			for n := range count {
-				if e.Alive(uint32(n)) {
-					routes[host(n).Addr] = broadcast.NewRouteChooser().Choose(0, seen(n, count), e)
+				if l.Alive(uint32(n)) {
+					routes[host(n).Addr] = broadcast.NewRouteChooser().Choose(0, viewFrom(n, count), l)
 				}
 			}
 			for from, r := range routes {
-				at := from
+				forwarder := from
 				if r.Forwarder.IsValid() {
-					at = r.Forwarder
+					forwarder = r.Forwarder
 				}
-				got := map[netip.AddrPort]int{at: 1}
-				sent := len(routes[at].Hall) + len(routes[at].Remote)
-				for _, a := range routes[at].Hall {
-					got[a]++
+				received := map[netip.AddrPort]int{forwarder: 1}
+				sent := len(routes[forwarder].Hall) + len(routes[forwarder].Remote)
+				for _, a := range routes[forwarder].Hall {
+					received[a]++
 				}
-				for _, f := range routes[at].Remote {
-					got[f]++
+				for _, f := range routes[forwarder].Remote {
+					received[f]++
 					sent += len(routes[f].Hall)
 					for _, a := range routes[f].Hall {
-						got[a]++
+						received[a]++
 					}
 				}
 				for a := range routes {
-					if got[a] != 1 {
-						t.Fatalf("news of %s come to %s %d times", from, a, got[a])
+					if received[a] != 1 {
+						t.Fatalf("an update from %s reaches %s %d times", from, a, received[a])
 					}
 				}
 				if sent > count+halls {
@@ -108,74 +108,76 @@
 	}
 }
 
-func TestSilentForwarderIsReplacedForAWhile(t *testing.T) {
-	hs, c := seen(12, 147), broadcast.NewRouteChooser()
-	first := c.Choose(0, hs, without()).Forwarder
+func TestSilentForwarderIsReplacedTemporarily(t *testing.T) {
+	hs, c := viewFrom(12, 147), broadcast.NewRouteChooser()
+	first := c.Choose(0, hs, allAliveBut()).Forwarder
 	if first != host(2).Addr {
-		t.Fatalf("the forwarder is %s, not the wide host of the hall", first)
+		t.Fatalf("the forwarder is %s, not the host of the hall with the fastest link", first)
 	}
-	// It still seems alive by what others pass on, but tells this host nothing.
-	silent := without()
+	// Its forwarded updates still show it alive, but it sends nothing to this host.
+	silent := allAliveBut()
 	silent.LastReceived = func(a netip.AddrPort) time.Duration {
 		if a == first {
 			return time.Second
 		}
 		return time.Hour
 	}
-	for at, replaced := range map[time.Duration]bool{
+	for after, replaced := range map[time.Duration]bool{
 		1500 * time.Millisecond: false, 1700 * time.Millisecond: true, 5 * time.Second: true, 7 * time.Second: false,
 	} {
 		c := broadcast.NewRouteChooser()
 		c.Choose(0, hs, silent)
-		if at > 1700*time.Millisecond {
+		if after > 1700*time.Millisecond {
 			c.Choose(1700*time.Millisecond, hs, silent)
 		}
-		if r := c.Choose(at, hs, silent); (r.Forwarder != first) != replaced {
-			t.Errorf("after %v news go to %s", at, r.Forwarder)
+		if r := c.Choose(after, hs, silent); (r.Forwarder != first) != replaced {
+			t.Errorf("after %v the forwarder is %s", after, r.Forwarder)
 		}
 	}
 }
 
-// TestOnlyForwardersJudgeOtherHalls has a host that hears its own hall's
-// forwarder and no other: what other halls tell comes to it through that one.
-func TestOnlyForwardersJudgeOtherHalls(t *testing.T) {
-	hs, c := seen(12, 147), broadcast.NewRouteChooser()
+// TestOnlyForwardersExcludeRemoteForwarders guards against excluding the forwarders of
+// other halls on a host that isn't a forwarder itself. Such a host receives datagrams
+// only from its own hall's forwarder, so all others seem silent to it.
+func TestOnlyForwardersExcludeRemoteForwarders(t *testing.T) {
+	hs, c := viewFrom(12, 147), broadcast.NewRouteChooser()
 	now := time.Duration(0)
-	e := without()
-	e.LastReceived = func(a netip.AddrPort) time.Duration {
+	l := allAliveBut()
+	l.LastReceived = func(a netip.AddrPort) time.Duration {
 		if a == host(2).Addr {
 			return now
 		}
 		return 0
 	}
-	first := c.Choose(now, hs, e).Remote
+	first := c.Choose(now, hs, l).Remote
 	for ; now < 10*time.Second; now += 250 * time.Millisecond {
-		if r := c.Choose(now, hs, e); !slices.Equal(r.Remote, first) {
-			t.Fatalf("after %v the forwarders of other halls are %v, at first %v", now, r.Remote, first)
+		if r := c.Choose(now, hs, l); !slices.Equal(r.Remote, first) {
+			t.Fatalf("after %v the forwarders of other halls are %v, initially %v", now, r.Remote, first)
 		}
 	}
 }
 
-// TestHostThatBeginsToForwardJudgesAnew has the forwarder of a hall die, and the
-// host that follows it not hear one of another hall.
-func TestHostThatBeginsToForwardJudgesAnew(t *testing.T) {
-	hs, c := seen(132, 147), broadcast.NewRouteChooser() // it follows host 2
-	c.Choose(0, hs, without())
-	gone := without(2)
-	gone.LastReceived = func(a netip.AddrPort) time.Duration {
+// TestNewForwarderGivesRemoteForwardersFullTimeout has the forwarder of a hall die, and
+// its successor receive nothing from the forwarder of another hall. The successor must
+// exclude that one only after the full time-out.
+func TestNewForwarderGivesRemoteForwardersFullTimeout(t *testing.T) {
+	hs, c := viewFrom(132, 147), broadcast.NewRouteChooser() // the successor of host 2
+	c.Choose(0, hs, allAliveBut())
+	dead := allAliveBut(2)
+	dead.LastReceived = func(a netip.AddrPort) time.Duration {
 		if a == host(0).Addr {
 			return 0
 		}
 		return time.Hour
 	}
 	const died = 5 * time.Second
-	for _, tc := range []struct { // in order: the first is what the second builds on
-		after  time.Duration
-		silent bool
+	for _, tc := range []struct { // in order: the second case depends on the first
+		after    time.Duration
+		excluded bool
 	}{{0, false}, {time.Second, true}} {
-		r := c.Choose(died+tc.after, hs, gone)
-		if r.Forwarder.IsValid() || slices.Contains(r.Remote, host(0).Addr) == tc.silent {
-			t.Errorf("after %v it tells %v and %v", tc.after, r.Forwarder, r.Remote)
+		r := c.Choose(died+tc.after, hs, dead)
+		if r.Forwarder.IsValid() || slices.Contains(r.Remote, host(0).Addr) == tc.excluded {
+			t.Errorf("after %v it sends to %v and %v", tc.after, r.Forwarder, r.Remote)
 		}
 	}
 }
