--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -11,8 +11,8 @@
 
 const (
 	daemons = 74
-	// perMessage and syncEvery are those of a daemon: records on a heartbeat,
-	// and heartbeats between two syncs.
+	// perMessage is the number of records per heartbeat, and syncEvery the number of
+	// heartbeats between two syncs, as in the daemon.
 	perMessage = 8
 	syncEvery  = 15
 )
@@ -26,28 +26,28 @@
 	return gossip.New(func(r record) string { return r.key }, func(a, b record) bool { return a.number > b.number })
 }
 
-// hall is sets that tell each other, a heartbeat of each in a round.
+// hall simulates the sets of a hall's daemons. Each sends one heartbeat per round.
 type hall struct {
 	random *rand.Rand
 	sets   []*gossip.Set[record]
-	sent   int  // records on heartbeats, once the start is over
-	known  bool // whether an equal set ends news
+	sent   int  // records sent on heartbeats after the start phase
+	inSync bool // whether PeerInSync is called for an equal set
 }
 
 func (h *hall) round(n int) {
 	for i, s := range h.sets {
 		other := h.sets[h.random.IntN(len(h.sets))]
-		there, back := s.Updates(perMessage, len(h.sets)), other.Updates(perMessage, len(h.sets))
-		h.sent += len(there) + len(back)
-		exchange(there, other)
-		exchange(back, s)
+		request, response := s.Updates(perMessage, len(h.sets)), other.Updates(perMessage, len(h.sets))
+		h.sent += len(request) + len(response)
+		merge(request, other)
+		merge(response, s)
 		if n%syncEvery == i%syncEvery {
 			h.sync(s, h.sets[h.random.IntN(len(h.sets))])
 		}
 	}
 }
 
-func exchange(rs []record, to *gossip.Set[record]) {
+func merge(rs []record, to *gossip.Set[record]) {
 	for _, r := range rs {
 		to.Merge(r)
 	}
@@ -55,17 +55,17 @@
 
 func (h *hall) sync(a, b *gossip.Set[record]) {
 	if fmt.Sprint(a.All()) == fmt.Sprint(b.All()) {
-		if h.known {
+		if h.inSync {
 			a.PeerInSync(len(h.sets))
 		}
 		return
 	}
-	exchange(a.All(), b)
-	exchange(b.All(), a)
+	merge(a.All(), b)
+	merge(b.All(), a)
 }
 
-// behind returns how many sets lack the newest of a record.
-func (h *hall) behind(r record) int {
+// outdated returns the number of sets that don't have a record's given version.
+func (h *hall) outdated(r record) int {
 	n := 0
 	for _, s := range h.sets {
 		if got, _ := s.Get(r.key); cmp.Compare(got.number, r.number) != 0 {
@@ -75,18 +75,18 @@
 	return n
 }
 
-// play starts all at once, each with a record of its own, and changes one
-// record once that has settled.
-func play(known bool) (h *hall, behind int) {
-	h = &hall{random: rand.New(rand.NewPCG(1, 2)), known: known}
+// simulate starts all daemons at once, each with a record of its own, and changes one
+// record after all have converged.
+func simulate(inSync bool) (h *hall, outdated int) {
+	h = &hall{random: rand.New(rand.NewPCG(1, 2)), inSync: inSync}
 	for range daemons {
 		h.sets = append(h.sets, newSet())
 	}
 	for i, s := range h.sets {
 		s.Merge(record{key: fmt.Sprint(i), number: 1})
 	}
-	const started, settled, later = 30, 60, 12
-	for n := range settled {
+	const started, converged, later = 30, 60, 12
+	for n := range converged {
 		if n == started {
 			h.sent = 0
 		}
@@ -95,22 +95,22 @@
 	next := record{key: "7", number: 2}
 	h.sets[7].Merge(next)
 	for n := range later {
-		h.round(settled + n)
+		h.round(converged + n)
 	}
-	return h, h.behind(next)
+	return h, h.outdated(next)
 }
 
-func TestNewsReachesAllAndRestsOnceItHas(t *testing.T) {
-	plain, behind := play(false)
-	if behind != 0 {
-		t.Errorf("%d of %d lack the change after 12 heartbeats", behind, daemons)
+func TestUpdatesReachAllAndEndEarlyWhenPeersAreInSync(t *testing.T) {
+	plain, outdated := simulate(false)
+	if outdated != 0 {
+		t.Errorf("%d of %d lack the change after 12 heartbeats", outdated, daemons)
 	}
-	spared, behind := play(true)
-	if behind != 0 {
-		t.Errorf("with equal sets ending news, %d of %d lack the change after 12 heartbeats", behind, daemons)
+	early, outdated := simulate(true)
+	if outdated != 0 {
+		t.Errorf("with PeerInSync, %d of %d lack the change after 12 heartbeats", outdated, daemons)
 	}
-	t.Logf("records sent from the 30th to the 72nd heartbeat: %d, with equal sets ending news %d", plain.sent, spared.sent)
-	if spared.sent*3 > plain.sent {
-		t.Errorf("%d records were sent, and %d where equal sets end news; want less than a third", plain.sent, spared.sent)
+	t.Logf("records sent from the 30th to the 72nd heartbeat: %d, with PeerInSync %d", plain.sent, early.sent)
+	if early.sent*3 > plain.sent {
+		t.Errorf("%d records were sent, and %d with PeerInSync; want at most a third", plain.sent, early.sent)
 	}
 }
