--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -142,7 +142,7 @@
 	e.watcher.SetClock(e.clock)
 	e.relays, e.relay = relay.NewClient(e.watcher, e.log), relay.NewServer(e.watcher)
 	e.grants = grants.New(s.Host, s.Hall, e.notices, n.Ask, e.clock.Now)
-	budget := limit.NewWindow(s.Bounds.Retries.Span, s.Bounds.Retries.Share*retryPart, e.retrySlack)
+	budget := limit.NewRetryWindow(s.Bounds.Retries.Span, s.Bounds.Retries.Share*retryPart, e.retrySlack)
 	e.gateway = gateway.New(p.Dialect, e.state, e.pool, e.board, budget, e.log, e.metrics,
 		gateway.WithHall(s.Hall),
 		gateway.WithClock(e.clock),
@@ -275,7 +275,7 @@
 	tick := time.NewTicker(upkeepPeriod)
 	defer tick.Stop()
 	r := readers{}
-	chooser, routes := broadcast.NewChooser(), broadcast.Routes{}
+	chooser, routes := broadcast.NewRouteChooser(), broadcast.Routes{}
 	for n := 0; ; {
 		select {
 		case <-ctx.Done():
@@ -294,7 +294,7 @@
 			e.tellSuspects(n)
 			if n++; n%sweepEvery == 0 {
 				servers := e.watcher.State().Servers
-				e.pool.Sweep(servers.Serves)
+				e.pool.Sweep(servers.HasAddr)
 				e.grants.Keep(func(server string) bool { _, ok := servers.Get(server); return ok })
 			}
 		}
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -133,7 +133,7 @@
 func startWith(t *testing.T, more []gateway.Option, answers ...reply) *fixture {
 	t.Helper()
 	f := &fixture{t: t, fresh: true}
-	book := backend.NewBook()
+	book := backend.NewRegistry()
 	for i, a := range answers {
 		s := serve(t, a)
 		f.servers = append(f.servers, s)
@@ -170,7 +170,7 @@
 		site.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 10})
 	l := decision.New(io.Discard)
 	t.Cleanup(l.Close)
-	budget := limit.NewWindow(10*time.Second, 0.2, func() float64 { return 10 })
+	budget := limit.NewRetryWindow(10*time.Second, 0.2, func() float64 { return 10 })
 	f.board, f.metrics = schedule.NewBoard(1), telemetry.NewMetrics()
 	os := append([]gateway.Option{
 		gateway.WithProof(gateway.Proof{
@@ -393,7 +393,7 @@
 		close(ended)
 	}()
 	f := start(t, plain(200, "unused"))
-	book := backend.NewBook()
+	book := backend.NewRegistry()
 	book.Put(backend.Server{ID: "i", Service: "plain", Addr: l.Addr().String(), Slots: 1}, 1)
 	f.view = book.View(0)
 	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
