--- a/cmd/command/suspects_count.go
+++ b/cmd/command/suspects_count.go
@@ -59,7 +59,7 @@
 	if err := e.print(c, c.table()); err != nil {
 		return err
 	}
-	if c.Stages[quarantine.Held.String()] > 0 || len(c.Refused) > 0 {
+	if c.Stages[quarantine.Blocked.String()] > 0 || len(c.Refused) > 0 {
 		return fault.New(fault.EndsEngines, "requests were held, or refused as suspects", "if none is deadly, look for SC1314 and what else ended then")
 	}
 	return nil
@@ -101,7 +101,7 @@
 	row := func(what string, n int) { t.rows = append(t.rows, []string{what, strconv.Itoa(n)}) }
 	row("ends found by one host", c.Found)
 	row("ends proved by another", c.Proved)
-	for _, s := range []quarantine.Stage{quarantine.Suspect, quarantine.Doubtful, quarantine.Held} {
+	for _, s := range []quarantine.Stage{quarantine.Suspect, quarantine.Serialized, quarantine.Blocked} {
 		row(s.String(), c.Stages[s.String()])
 	}
 	for _, why := range []string{refusedWaits, "workspace" + refusedEnding, "request" + refusedEnding} {
--- a/core/quarantine/book.go
+++ b/core/quarantine/book.go
@@ -12,23 +12,23 @@
 	Change struct {
 		Record Record
 		Stage  Stage
-		// Forgotten says that it was dropped, since it is old or there were too
+		// Removed says that it was dropped, since it is old or there were too
 		// many.
-		Forgotten bool
+		Removed bool
 	}
 
-	// Told is a suspect of which this host has evidence of its own, with the time
+	// OwnRecord is a suspect of which this host has evidence of its own, with the time
 	// since that last changed.
-	Told struct {
+	OwnRecord struct {
 		Record Record
 		Age    time.Duration
 	}
 
-	// Book is what is known of suspects. It is safe for use by many goroutines.
-	Book struct {
+	// Registry is what is known of suspects. It is safe for use by many goroutines.
+	Registry struct {
 		mu        sync.Mutex
-		suspects  map[Print]*suspect
-		marks     map[Mark]int // how many suspects have the mark
+		suspects  map[Fingerprint]*suspect
+		marks     map[HeadHash]int // how many suspects have the mark
 		offenders map[string]offender
 	}
 
@@ -44,21 +44,21 @@
 	}
 )
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{suspects: map[Print]*suspect{}, marks: map[Mark]int{}, offenders: map[string]offender{}}
+// NewRegistry returns an empty book.
+func NewRegistry() *Registry {
+	return &Registry{suspects: map[Fingerprint]*suspect{}, marks: map[HeadHash]int{}, offenders: map[string]offender{}}
 }
 
-// Knows reports whether a suspect has the mark, and so whether the print of a
+// MayContain reports whether a suspect has the mark, and so whether the print of a
 // request with that mark has to be looked up.
-func (b *Book) Knows(m Mark) bool {
+func (b *Registry) MayContain(m HeadHash) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.marks[m] > 0
 }
 
 // Stage returns what becomes of a request now.
-func (b *Book) Stage(p Print) Stage {
+func (b *Registry) Stage(p Fingerprint) Stage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.suspects[p]; s != nil {
@@ -67,8 +67,8 @@
 	return Clear
 }
 
-// Record returns what is known of a suspect, and how old that is.
-func (b *Book) Record(p Print, now time.Duration) (Record, time.Duration) {
+// Lookup returns what is known of a suspect, and how old that is.
+func (b *Registry) Lookup(p Fingerprint, now time.Duration) (Record, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.suspects[p]; s != nil {
@@ -77,33 +77,33 @@
 	return Record{}, 0
 }
 
-// Undecided reports whether a request has to wait until it is proved or not that
+// AwaitsConfirmation reports whether a request has to wait until it is proved or not that
 // servers have ended under it, where there are several. It doesn't wait for the first:
 // most requests under which one has ended didn't end it.
-func (b *Book) Undecided(p Print, now time.Duration) bool {
-	r, age := b.Record(p, now)
-	return len(r.Ends) >= doubtfulEnds && r.Unproved() && age < verdictTime
+func (b *Registry) AwaitsConfirmation(p Fingerprint, now time.Duration) bool {
+	r, age := b.Lookup(p, now)
+	return len(r.Crashes) >= doubtfulEnds && r.HasUnconfirmed() && age < verdictTime
 }
 
-// Ended notes that a server has ended with a request's answer due. It returns the
+// AddCrash notes that a server has ended with a request's answer due. It returns the
 // stages that changed.
-func (b *Book) Ended(id Identity, e End, now time.Duration) []Change {
+func (b *Registry) AddCrash(id Identity, e Crash, now time.Duration) []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.merge(Record{Mark: id.Mark, Print: id.Print, Workspace: id.Workspace, Ends: []End{e}}, true, now)
+	return b.merge(Record{HeadHash: id.HeadHash, Fingerprint: id.Fingerprint, Workspace: id.Workspace, Crashes: []Crash{e}}, true, now)
 }
 
-// Hear takes in what another host knows of a suspect.
-func (b *Book) Hear(r Record, now time.Duration) []Change {
+// Merge takes in what another host knows of a suspect.
+func (b *Registry) Merge(r Record, now time.Duration) []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.merge(r, false, now)
 }
 
-// Prove notes that a server's end is proved, for all requests under which it ended.
+// ConfirmCrash notes that a server's end is proved, for all requests under which it ended.
 // It returns what is known of these now, which others have to be told, and the
 // stages that changed.
-func (b *Book) Prove(server uint32, now time.Duration) ([]Record, []Change) {
+func (b *Registry) ConfirmCrash(server uint32, now time.Duration) ([]Record, []Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var more []Record
@@ -118,14 +118,14 @@
 }
 
 // merge adds what a record says, and returns the stages that changed.
-func (b *Book) merge(r Record, own bool, now time.Duration) []Change {
+func (b *Registry) merge(r Record, own bool, now time.Duration) []Change {
 	var changes []Change
-	s := b.suspects[r.Print]
+	s := b.suspects[r.Fingerprint]
 	if s == nil {
 		changes = b.makeRoom(r.Workspace)
-		s = &suspect{record: Record{Mark: r.Mark, Print: r.Print, Workspace: r.Workspace}}
-		b.suspects[r.Print] = s
-		b.marks[r.Mark]++
+		s = &suspect{record: Record{HeadHash: r.HeadHash, Fingerprint: r.Fingerprint, Workspace: r.Workspace}}
+		b.suspects[r.Fingerprint] = s
+		b.marks[r.HeadHash]++
 	}
 	if own {
 		r.Pardons = s.record.Pardons
@@ -134,15 +134,15 @@
 }
 
 // update replaces what is known of a suspect, and returns the stages that changed.
-func (b *Book) update(s *suspect, r Record, own bool, now time.Duration) []Change {
+func (b *Registry) update(s *suspect, r Record, own bool, now time.Duration) []Change {
 	before := s.record.Stage()
-	if own || r.Pardons != s.record.Pardons || !slices.Equal(r.Ends, s.record.Ends) {
+	if own || r.Pardons != s.record.Pardons || !slices.Equal(r.Crashes, s.record.Crashes) {
 		s.latest, s.checked, s.listed = now, false, 0
 	}
 	if r.Pardons != s.record.Pardons {
 		s.blamed = nil
 	}
-	for range r.count(End.blames) - len(s.blamed) {
+	for range r.count(Crash.blames) - len(s.blamed) {
 		s.blamed = append(s.blamed, now)
 	}
 	s.record, s.own = r, s.own || own
@@ -154,7 +154,7 @@
 }
 
 // makeRoom drops a suspect if there are as many as there may be.
-func (b *Book) makeRoom(workspace string) []Change {
+func (b *Registry) makeRoom(workspace string) []Change {
 	ofOne := 0
 	for _, s := range b.suspects {
 		if s.record.Workspace == workspace {
@@ -178,7 +178,7 @@
 
 // before reports whether a suspect falls out before another one.
 func (s *suspect) before(o *suspect) bool {
-	held, other := s.record.Stage() == Held, o.record.Stage() == Held
+	held, other := s.record.Stage() == Blocked, o.record.Stage() == Blocked
 	if held != other {
 		return other
 	}
@@ -186,27 +186,27 @@
 }
 
 // drop forgets a suspect.
-func (b *Book) drop(s *suspect) Change {
-	delete(b.suspects, s.record.Print)
-	if b.marks[s.record.Mark]--; b.marks[s.record.Mark] == 0 {
-		delete(b.marks, s.record.Mark)
+func (b *Registry) drop(s *suspect) Change {
+	delete(b.suspects, s.record.Fingerprint)
+	if b.marks[s.record.HeadHash]--; b.marks[s.record.HeadHash] == 0 {
+		delete(b.marks, s.record.HeadHash)
 	}
 	b.reckon(s.record.Workspace)
-	return Change{Record: s.record, Forgotten: true}
+	return Change{Record: s.record, Removed: true}
 }
 
-// Answered notes that a request was answered whole: it ends no servers. It
+// ClearAnswered notes that a request was answered whole: it ends no servers. It
 // reports whether the request was a suspect. What is held stays held.
-func (b *Book) Answered(p Print, now time.Duration) bool {
+func (b *Registry) ClearAnswered(p Fingerprint, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[p]
-	return s != nil && s.record.Stage() != Held && b.pardon(s, now)
+	return s != nil && s.record.Stage() != Blocked && b.pardon(s, now)
 }
 
 // Pardon clears a suspect, also one that is held, and reports whether there was
 // one.
-func (b *Book) Pardon(p Print, now time.Duration) bool {
+func (b *Registry) Pardon(p Fingerprint, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.suspects[p]
@@ -215,26 +215,26 @@
 
 // pardon clears a suspect, unless it is clear. It is kept for a while, so that
 // others who know less don't bring it back.
-func (b *Book) pardon(s *suspect, now time.Duration) bool {
+func (b *Registry) pardon(s *suspect, now time.Duration) bool {
 	if s.record.Stage() == Clear {
 		return false
 	}
 	r := s.record
-	r.Ends = nil
+	r.Crashes = nil
 	r.Pardons++
 	b.update(s, r, true, now) // that it is clear now is for the caller to note
 	return true
 }
 
 // Expire drops what is too old, and returns it.
-func (b *Book) Expire(now time.Duration) []Change {
+func (b *Registry) Expire(now time.Duration) []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var changes []Change
 	for _, s := range b.suspects {
 		life := suspectTime
-		if s.record.Stage() == Held {
-			life = HeldTime
+		if s.record.Stage() == Blocked {
+			life = BlockedRetention
 		}
 		if now-s.latest > life {
 			changes = append(changes, b.drop(s))
@@ -243,25 +243,25 @@
 	return changes
 }
 
-// Own returns the suspects of which this host has evidence of its own, the last
+// OwnRecords returns the suspects of which this host has evidence of its own, the last
 // to change first: others are told of these.
-func (b *Book) Own(now time.Duration) []Told {
+func (b *Registry) OwnRecords(now time.Duration) []OwnRecord {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []Told
+	var out []OwnRecord
 	for _, s := range b.suspects {
 		if s.own {
-			out = append(out, Told{s.record, now - s.latest})
+			out = append(out, OwnRecord{s.record, now - s.latest})
 		}
 	}
-	slices.SortFunc(out, func(x, y Told) int {
-		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Record.Mark, y.Record.Mark))
+	slices.SortFunc(out, func(x, y OwnRecord) int {
+		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Record.HeadHash, y.Record.HeadHash))
 	})
 	return out
 }
 
-// All returns what is known of all suspects, those that are held first.
-func (b *Book) All() []Record {
+// Records returns what is known of all suspects, those that are held first.
+func (b *Registry) Records() []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]Record, 0, len(b.suspects))
@@ -269,7 +269,7 @@
 		out = append(out, s.record)
 	}
 	slices.SortFunc(out, func(x, y Record) int {
-		return cmp.Or(cmp.Compare(y.Stage(), x.Stage()), cmp.Compare(x.Mark, y.Mark))
+		return cmp.Or(cmp.Compare(y.Stage(), x.Stage()), cmp.Compare(x.HeadHash, y.HeadHash))
 	})
 	return out
 }
--- a/core/quarantine/confine.go
+++ b/core/quarantine/confine.go
@@ -28,7 +28,7 @@
 // Confined reports whether all that a workspace sends has to run on one server now,
 // and whether it has to wait since one has just ended under it. Callers without a
 // workspace are many: one of them doesn't confine the others.
-func (b *Book) Confined(workspace string, now time.Duration) (confined, waits bool) {
+func (b *Registry) Confined(workspace string, now time.Duration) (confined, waits bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	o, known := b.offenders[workspace]
@@ -40,18 +40,18 @@
 
 // reckon works out anew what a workspace's suspects say of it. It is called when
 // one of them has changed, which is rare.
-func (b *Book) reckon(workspace string) {
+func (b *Registry) reckon(workspace string) {
 	if workspace == "" {
 		return
 	}
 	var o offender
 	for _, s := range b.suspects {
-		if s.record.Workspace != workspace || len(s.record.Ends) == 0 {
+		if s.record.Workspace != workspace || len(s.record.Crashes) == 0 {
 			continue
 		}
 		o.last = max(o.last, s.latest)
 		switch {
-		case s.record.Stage() == Held:
+		case s.record.Stage() == Blocked:
 			o.ends = append(o.ends, s.latest)
 		default:
 			o.ends = append(o.ends, s.blamed...)
--- a/core/quarantine/identity.go
+++ b/core/quarantine/identity.go
@@ -19,19 +19,19 @@
 
 	// Identity is a request as suspects are known: digests, and whose it is.
 	Identity struct {
-		Mark      Mark
-		Print     Print
-		Workspace string
+		HeadHash    HeadHash
+		Fingerprint Fingerprint
+		Workspace   string
 	}
 
-	// Mark is a cheap digest of a request, which doesn't read its body. Two
+	// HeadHash is a cheap digest of a request, which doesn't read its body. Two
 	// requests with one mark may differ; it decides where something is looked
 	// up, never what becomes of a request.
-	Mark uint64
+	HeadHash uint64
 
-	// Print is a digest of a whole request that nobody can craft another
+	// Fingerprint is a digest of a whole request that nobody can craft another
 	// request for. Zero is none.
-	Print [printSize]byte
+	Fingerprint [printSize]byte
 )
 
 const (
@@ -41,8 +41,8 @@
 	separator = "\x00"
 )
 
-// Mark returns the request's mark. It hashes some hundred bytes.
-func (r Request) Mark() Mark {
+// HeadHash returns the request's mark. It hashes some hundred bytes.
+func (r Request) HeadHash() HeadHash {
 	d := xxhash.New()
 	for _, part := range r.head() {
 		_, _ = d.WriteString(part) // never fails
@@ -51,25 +51,25 @@
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(r.Body)))
 	_, _ = d.Write(size[:])
-	return Mark(d.Sum64())
+	return HeadHash(d.Sum64())
 }
 
-// WorkspaceMark is the mark under which all requests of a confined workspace run.
-func WorkspaceMark(workspace string) Mark { return Request{Workspace: workspace}.Mark() }
+// WorkspaceHash is the mark under which all requests of a confined workspace run.
+func WorkspaceHash(workspace string) HeadHash { return Request{Workspace: workspace}.HeadHash() }
 
-// Print returns the request's print. It hashes the body, which may have
+// Fingerprint returns the request's print. It hashes the body, which may have
 // megabytes: it is asked for only where there is something to compare with.
-func (r Request) Print() Print {
+func (r Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, part := range r.head() {
 		_, _ = h.Write([]byte(part + separator)) // never fails
 	}
 	_, _ = h.Write(r.Body)
-	return Print(h.Sum(nil)[:printSize])
+	return Fingerprint(h.Sum(nil)[:printSize])
 }
 
 // Identity returns both digests.
-func (r Request) Identity() Identity { return Identity{r.Mark(), r.Print(), r.Workspace} }
+func (r Request) Identity() Identity { return Identity{r.HeadHash(), r.Fingerprint(), r.Workspace} }
 
 // head is the request without its body. The workspace is part of it, so that no
 // caller can make a request that counts as one of another workspace's.
@@ -78,10 +78,10 @@
 }
 
 // MarshalText implements encoding.TextMarshaler.
-func (p Print) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (p *Print) UnmarshalText(b []byte) error {
+func (p *Fingerprint) UnmarshalText(b []byte) error {
 	raw, err := hex.DecodeString(string(b))
 	if err != nil || len(raw) != printSize {
 		return errors.Newf("a print has %d hexadecimal digits, not %q", 2*printSize, b)
@@ -91,11 +91,11 @@
 }
 
 // String returns the mark as it stands in logs.
-func (m Mark) String() string {
+func (m HeadHash) String() string {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(m))
 	return hex.EncodeToString(b[:])
 }
 
 // String returns the print as it stands in logs.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
--- a/core/quarantine/proof_test.go
+++ b/core/quarantine/proof_test.go
@@ -25,17 +25,17 @@
 		"none held, three servers": {0, 3, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := quarantine.NewBook()
+			b := quarantine.NewRegistry()
 			for n := range tc.held {
 				for s := range 3 {
-					b.Ended(request("w", n).Identity(), end(fmt.Sprint(n, s), true), 0)
+					b.AddCrash(request("w", n).Identity(), end(fmt.Sprint(n, s), true), 0)
 				}
-				if b.Stage(request("w", n).Print()) != quarantine.Held {
+				if b.Stage(request("w", n).Fingerprint()) != quarantine.Blocked {
 					t.Fatal("not held")
 				}
 			}
 			for s := range tc.ends {
-				b.Ended(request("w", 100+s).Identity(), end(fmt.Sprint("more", s), true), 0)
+				b.AddCrash(request("w", 100+s).Identity(), end(fmt.Sprint("more", s), true), 0)
 			}
 			if confined, _ := b.Confined("w", 0); confined != tc.want {
 				t.Errorf("confined %v, want %v", confined, tc.want)
@@ -47,11 +47,11 @@
 // TestAnswerFreesItsWorkspace has three requests of a workspace end a server each,
 // one of which is then answered.
 func TestAnswerFreesItsWorkspace(t *testing.T) {
-	b := quarantine.NewBook()
+	b := quarantine.NewRegistry()
 	for n := range 3 {
-		b.Ended(request("w", n).Identity(), end(fmt.Sprint(n), true), 0)
+		b.AddCrash(request("w", n).Identity(), end(fmt.Sprint(n), true), 0)
 	}
-	b.Answered(request("w", 1).Print(), 0)
+	b.ClearAnswered(request("w", 1).Fingerprint(), 0)
 	if confined, _ := b.Confined("w", 0); confined {
 		t.Error("confined by the server that ended under an answered request")
 	}
@@ -90,28 +90,28 @@
 
 // TestRosterTellsEndsFromCuts has servers leave the list, and asks for the first.
 func TestRosterTellsEndsFromCuts(t *testing.T) {
-	all := []quarantine.Start{
+	all := []quarantine.Instance{
 		{ID: "s1", Name: "s1", Hall: "a"}, {ID: "s2", Name: "s2", Hall: "a"}, {ID: "s3", Name: "s3", Hall: "a"},
 		{ID: "s4", Name: "s4", Hall: "b"}, {ID: "s5", Name: "s5", Hall: "b"},
 	}
 	for name, tc := range map[string]struct {
-		then  []quarantine.Start
+		then  []quarantine.Instance
 		after time.Duration
 		want  quarantine.Listing
 	}{
 		"stays":                      {all, 2 * time.Second, quarantine.Listed},
-		"left, others of it stay":    {all[1:], 2 * time.Second, quarantine.Over},
-		"left just now":              {all[1:], time.Second, quarantine.Unsaid},
-		"its whole hall left":        {all[3:], 2 * time.Second, quarantine.Unsaid},
-		"most of its hall left":      {all[2:], 2 * time.Second, quarantine.Unsaid},
-		"started again":              {append([]quarantine.Start{{ID: "s1@2", Name: "s1", Hall: "a"}}, all[1:]...), 0, quarantine.Over},
-		"started again, alone in it": {append([]quarantine.Start{{ID: "s1@2", Name: "s1", Hall: "a"}}, all[3:]...), 0, quarantine.Over},
+		"left, others of it stay":    {all[1:], 2 * time.Second, quarantine.Terminated},
+		"left just now":              {all[1:], time.Second, quarantine.Inconclusive},
+		"its whole hall left":        {all[3:], 2 * time.Second, quarantine.Inconclusive},
+		"most of its hall left":      {all[2:], 2 * time.Second, quarantine.Inconclusive},
+		"started again":              {append([]quarantine.Instance{{ID: "s1@2", Name: "s1", Hall: "a"}}, all[1:]...), 0, quarantine.Terminated},
+		"started again, alone in it": {append([]quarantine.Instance{{ID: "s1@2", Name: "s1", Hall: "a"}}, all[3:]...), 0, quarantine.Terminated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := quarantine.NewRoster()
 			r.Update(all, 0)
 			r.Update(tc.then, time.Second)
-			if got := r.Says(quarantine.ServerOf("s1"), time.Second+tc.after); got != tc.want {
+			if got := r.Listing(quarantine.ServerDigest("s1"), time.Second+tc.after); got != tc.want {
 				t.Errorf("says %v, want %v", got, tc.want)
 			}
 		})
@@ -121,17 +121,17 @@
 // TestProofReachesAllRequests proves the end of a server under two requests, whose
 // records then say so to others.
 func TestProofReachesAllRequests(t *testing.T) {
-	b := quarantine.NewBook()
+	b := quarantine.NewRegistry()
 	for n := range 2 {
 		e := end("s", false)
-		e.Proved = false
-		b.Ended(request("w", n).Identity(), e, 0)
+		e.Confirmed = false
+		b.AddCrash(request("w", n).Identity(), e, 0)
 	}
-	rs, _ := b.Prove(quarantine.ServerOf("s"), time.Second)
-	if len(rs) != 2 || rs[0].Unproved() || rs[1].Unproved() {
+	rs, _ := b.ConfirmCrash(quarantine.ServerDigest("s"), time.Second)
+	if len(rs) != 2 || rs[0].HasUnconfirmed() || rs[1].HasUnconfirmed() {
 		t.Errorf("proved %+v", rs)
 	}
-	if again, _ := b.Prove(quarantine.ServerOf("s"), time.Second); len(again) > 0 {
+	if again, _ := b.ConfirmCrash(quarantine.ServerDigest("s"), time.Second); len(again) > 0 {
 		t.Error("proved twice")
 	}
 }
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -6,7 +6,7 @@
 // only where no other suspect runs, and all of its copies on one server, so that
 // the next end tells which one it was. One that is answered is cleared. One under
 // which several servers ended, at least one of them while it was apart, is held:
-// it is refused at once. A [Book] holds what is known of suspects, by this host's
+// it is refused at once. A [Registry] holds what is known of suspects, by this host's
 // evidence and by that of others, who are told a [Record] of each. Records only
 // grow by merging, so that they may be lost, told twice and in any order.
 //
@@ -47,10 +47,10 @@
 	Clear Stage = iota
 	// Suspect ones run where no other suspect runs, if there is such a server.
 	Suspect
-	// Doubtful ones run like suspects, and one copy at a time.
-	Doubtful
-	// Held ones are refused.
-	Held
+	// Serialized ones run like suspects, and one copy at a time.
+	Serialized
+	// Blocked ones are refused.
+	Blocked
 )
 
 const (
@@ -66,10 +66,10 @@
 	// within their deadlines, of which the longest used are 15 s; a request that
 	// comes seldom and ends a server each time has to add up all the same.
 	suspectTime = 10 * time.Minute
-	// HeldTime forgets held requests, so that one is tried again at some time:
+	// BlockedRetention forgets held requests, so that one is tried again at some time:
 	// servers with other software may well run it. One that still ends servers
 	// ends three more, an hour's share of which is little.
-	HeldTime = time.Hour
+	BlockedRetention = time.Hour
 	// most bounds the suspects, mostOfOne those of one workspace: some 200 bytes
 	// each. A server that ends makes some ten. The one that was heard of longest
 	// ago falls out first, held ones last, and of one workspace's its own.
@@ -85,8 +85,8 @@
 	// of the others' requests that may run once were lost (four hosts, twelve copies
 	// at once).
 	verdictTime = 300 * time.Millisecond
-	// VerdictPause lies between two looks whether it is there.
-	VerdictPause = 5 * time.Millisecond
+	// ConfirmationPollInterval lies between two looks whether it is there.
+	ConfirmationPollInterval = 5 * time.Millisecond
 	// maxName is the longest name of a workspace that others are believed.
 	maxName = 256
 )
@@ -96,5 +96,5 @@
 
 // String returns the stage as it stands in logs.
 func (s Stage) String() string {
-	return [...]string{Clear: "clear", Suspect: "suspect", Doubtful: "doubtful", Held: "held"}[s]
+	return [...]string{Clear: "clear", Suspect: "suspect", Serialized: "doubtful", Blocked: "held"}[s]
 }
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -17,43 +17,43 @@
 }
 
 // end is a server's end that is proved.
-func end(server string, apart bool) quarantine.End {
-	return quarantine.End{Server: quarantine.ServerOf(server), By: 1, Apart: apart, Proved: true}
+func end(server string, apart bool) quarantine.Crash {
+	return quarantine.Crash{Server: quarantine.ServerDigest(server), Reporter: 1, Isolated: apart, Confirmed: true}
 }
 
 func TestStage(t *testing.T) {
-	claimed := func(server string, apart bool) quarantine.End {
+	claimed := func(server string, apart bool) quarantine.Crash {
 		e := end(server, apart)
-		e.Proved = false
+		e.Confirmed = false
 		return e
 	}
 	for name, tc := range map[string]struct {
-		ends []quarantine.End
+		ends []quarantine.Crash
 		want quarantine.Stage
 	}{
 		"none":                        {nil, quarantine.Clear},
-		"one":                         {[]quarantine.End{end("a", false)}, quarantine.Suspect},
-		"one, seen by several calls":  {[]quarantine.End{end("a", false), end("a", false), end("a", true)}, quarantine.Suspect},
-		"two":                         {[]quarantine.End{end("a", false), end("b", false)}, quarantine.Doubtful},
-		"three, none of them apart":   {[]quarantine.End{end("a", false), end("b", false), end("c", false)}, quarantine.Doubtful},
-		"three, one of them apart":    {[]quarantine.End{end("a", false), end("b", false), end("c", true)}, quarantine.Held},
-		"four, the first of them not": {[]quarantine.End{end("a", false), end("b", true), end("c", true), end("d", true)}, quarantine.Held},
-		"three, none of them proved":  {[]quarantine.End{claimed("a", true), claimed("b", true), claimed("c", true)}, quarantine.Suspect},
-		"three, one of them proved":   {[]quarantine.End{end("a", true), claimed("b", true), claimed("c", true)}, quarantine.Doubtful},
-		"three, proved later":         {[]quarantine.End{claimed("a", true), end("a", false), end("b", false), end("c", false)}, quarantine.Held},
-		"three, the one apart isn't":  {[]quarantine.End{end("a", false), end("b", false), end("c", false), claimed("d", true)}, quarantine.Doubtful},
+		"one":                         {[]quarantine.Crash{end("a", false)}, quarantine.Suspect},
+		"one, seen by several calls":  {[]quarantine.Crash{end("a", false), end("a", false), end("a", true)}, quarantine.Suspect},
+		"two":                         {[]quarantine.Crash{end("a", false), end("b", false)}, quarantine.Serialized},
+		"three, none of them apart":   {[]quarantine.Crash{end("a", false), end("b", false), end("c", false)}, quarantine.Serialized},
+		"three, one of them apart":    {[]quarantine.Crash{end("a", false), end("b", false), end("c", true)}, quarantine.Blocked},
+		"four, the first of them not": {[]quarantine.Crash{end("a", false), end("b", true), end("c", true), end("d", true)}, quarantine.Blocked},
+		"three, none of them proved":  {[]quarantine.Crash{claimed("a", true), claimed("b", true), claimed("c", true)}, quarantine.Suspect},
+		"three, one of them proved":   {[]quarantine.Crash{end("a", true), claimed("b", true), claimed("c", true)}, quarantine.Serialized},
+		"three, proved later":         {[]quarantine.Crash{claimed("a", true), end("a", false), end("b", false), end("c", false)}, quarantine.Blocked},
+		"three, the one apart isn't":  {[]quarantine.Crash{end("a", false), end("b", false), end("c", false), claimed("d", true)}, quarantine.Serialized},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, r := quarantine.NewBook(), request("w", 1)
+			b, r := quarantine.NewRegistry(), request("w", 1)
 			for n, e := range tc.ends {
 				now := time.Duration(n) * time.Second
-				b.Ended(r.Identity(), e, now)
+				b.AddCrash(r.Identity(), e, now)
 			}
-			if got := b.Stage(r.Print()); got != tc.want {
+			if got := b.Stage(r.Fingerprint()); got != tc.want {
 				t.Errorf("stage %v, want %v", got, tc.want)
 			}
-			if b.Knows(r.Mark()) != (tc.want != quarantine.Clear) {
-				t.Errorf("knows its mark: %v", b.Knows(r.Mark()))
+			if b.MayContain(r.HeadHash()) != (tc.want != quarantine.Clear) {
+				t.Errorf("knows its mark: %v", b.MayContain(r.HeadHash()))
 			}
 		})
 	}
@@ -65,20 +65,20 @@
 	r := request("w", 1)
 	var told []quarantine.Record
 	for n, server := range []string{"a", "b", "c"} {
-		b := quarantine.NewBook()
-		b.Ended(r.Identity(), end(server, n == 1), 0)
-		told = append(told, b.Own(0)[0].Record)
+		b := quarantine.NewRegistry()
+		b.AddCrash(r.Identity(), end(server, n == 1), 0)
+		told = append(told, b.OwnRecords(0)[0].Record)
 	}
 	for name, order := range map[string][]int{"in order": {0, 1, 2}, "back": {2, 1, 0}, "twice": {1, 0, 1, 2, 2, 0}} {
 		t.Run(name, func(t *testing.T) {
-			b := quarantine.NewBook()
+			b := quarantine.NewRegistry()
 			for _, n := range order {
 				if err := told[n].Validate(); err != nil {
 					t.Error(err)
 				}
-				b.Hear(told[n], 0)
+				b.Merge(told[n], 0)
 			}
-			if got := b.Stage(r.Print()); got != quarantine.Held {
+			if got := b.Stage(r.Fingerprint()); got != quarantine.Blocked {
 				t.Errorf("stage %v, want held", got)
 			}
 		})
@@ -92,28 +92,28 @@
 		listed []string
 		want   quarantine.Stage
 	}{
-		"all gone":    {nil, quarantine.Held},
-		"one listed":  {[]string{"a"}, quarantine.Doubtful},
+		"all gone":    {nil, quarantine.Blocked},
+		"one listed":  {[]string{"a"}, quarantine.Serialized},
 		"all listed":  {[]string{"a", "b", "c"}, quarantine.Clear},
-		"some others": {[]string{"x", "y"}, quarantine.Held},
+		"some others": {[]string{"x", "y"}, quarantine.Blocked},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, b := request("w", 1), quarantine.NewBook()
+			r, b := request("w", 1), quarantine.NewRegistry()
 			for _, s := range []string{"a", "b", "c"} {
-				b.Ended(r.Identity(), end(s, true), 0)
+				b.AddCrash(r.Identity(), end(s, true), 0)
 			}
 			for now := 7 * time.Second; now < 20*time.Second; now += time.Second {
-				if now == 8*time.Second && b.Stage(r.Print()) != quarantine.Held {
+				if now == 8*time.Second && b.Stage(r.Fingerprint()) != quarantine.Blocked {
 					t.Error("what was listed for a second is believed to live")
 				}
-				b.Check(func(s uint32) quarantine.Listing {
-					if slices.ContainsFunc(tc.listed, func(id string) bool { return quarantine.ServerOf(id) == s }) {
+				b.Reconcile(func(s uint32) quarantine.Listing {
+					if slices.ContainsFunc(tc.listed, func(id string) bool { return quarantine.ServerDigest(id) == s }) {
 						return quarantine.Listed
 					}
-					return quarantine.Unsaid
+					return quarantine.Inconclusive
 				}, now)
 			}
-			if got := b.Stage(r.Print()); got != tc.want {
+			if got := b.Stage(r.Fingerprint()); got != tc.want {
 				t.Errorf("stage %v, want %v", got, tc.want)
 			}
 		})
@@ -123,16 +123,16 @@
 // TestOneWorkspaceFillsNoTable has one workspace send thousands of bad requests
 // beside one of another.
 func TestOneWorkspaceFillsNoTable(t *testing.T) {
-	b, other := quarantine.NewBook(), request("other", 0)
-	b.Ended(other.Identity(), end("first", false), 0)
+	b, other := quarantine.NewRegistry(), request("other", 0)
+	b.AddCrash(other.Identity(), end("first", false), 0)
 	for n := range 5000 {
 		now := time.Duration(n) * time.Millisecond
-		b.Ended(request("flood", n).Identity(), end(fmt.Sprint(n), false), now)
+		b.AddCrash(request("flood", n).Identity(), end(fmt.Sprint(n), false), now)
 	}
-	if got := b.Stage(other.Print()); got != quarantine.Suspect {
+	if got := b.Stage(other.Fingerprint()); got != quarantine.Suspect {
 		t.Errorf("the other workspace's suspect is %v", got)
 	}
-	if n := len(b.All()); n > 200 {
+	if n := len(b.Records()); n > 200 {
 		t.Errorf("%d suspects are kept", n)
 	}
 }
@@ -154,9 +154,9 @@
 		"without a workspace": {"", 3, true, 0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := quarantine.NewBook()
+			b := quarantine.NewRegistry()
 			for n := range tc.ends {
-				b.Ended(request(tc.workspace, n).Identity(), end(fmt.Sprint(n), tc.apart), 0)
+				b.AddCrash(request(tc.workspace, n).Identity(), end(fmt.Sprint(n), tc.apart), 0)
 			}
 			if confined, waits := b.Confined(tc.workspace, tc.after); confined != tc.confined || waits != tc.waits {
 				t.Errorf("confined %v, waits %v, want %v, %v", confined, waits, tc.confined, tc.waits)
@@ -185,7 +185,7 @@
 		t.Run(name, func(t *testing.T) {
 			o := r
 			change(&o)
-			if o.Print() == r.Print() {
+			if o.Fingerprint() == r.Fingerprint() {
 				t.Error("has the same print")
 			}
 		})
@@ -198,7 +198,7 @@
 	r := request("workspace-7", 1)
 	r.Body = make([]byte, 1<<20)
 	for b.Loop() {
-		_ = r.Mark()
+		_ = r.HeadHash()
 	}
 }
 
@@ -208,6 +208,6 @@
 	r := request("workspace-7", 1)
 	r.Body = make([]byte, 1<<20)
 	for b.Loop() {
-		_ = r.Print()
+		_ = r.Fingerprint()
 	}
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -9,34 +9,34 @@
 )
 
 type (
-	// End is a server that ended under a request.
-	End struct {
+	// Crash is a server that ended under a request.
+	Crash struct {
 		_ struct{} `cbor:",toarray"`
 		// Server is a digest of its ID, by [ServerOf].
 		Server uint32
-		// By is the number of the host that found it closed: of several the least.
-		By uint32
-		// Apart says that no other suspect was known to run there.
-		Apart bool
-		// Proved says that there is more than one host's word for it.
-		Proved bool
+		// Reporter is the number of the host that found it closed: of several the least.
+		Reporter uint32 `json:"By"`
+		// Isolated says that no other suspect was known to run there.
+		Isolated bool `json:"Apart"`
+		// Confirmed says that there is more than one host's word for it.
+		Confirmed bool `json:"Proved"`
 	}
 
 	// Record is what is known of a suspect: an immutable value.
 	Record struct {
-		_         struct{} `cbor:",toarray"`
-		Mark      Mark
-		Print     Print
-		Workspace string
-		Ends      []End // by server, each once
+		_           struct{}    `cbor:",toarray"`
+		HeadHash    HeadHash    `json:"Mark"`
+		Fingerprint Fingerprint `json:"Print"`
+		Workspace   string
+		Crashes     []Crash `json:"Ends"` // by server, each once
 		// Pardons counts how often it was cleared, by an answer or an operator.
 		// Ends that were known before the last time don't count.
 		Pardons uint32
 	}
 )
 
-// ServerOf digests a server's ID.
-func ServerOf(id string) uint32 {
+// ServerDigest digests a server's ID.
+func ServerDigest(id string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
 	return h.Sum32()
@@ -47,31 +47,31 @@
 // harmless requests were refused while two halls lost each other with resets ten
 // times in six seconds, and two were held for an hour on a day of 72 hosts.
 func (r Record) Stage() Stage {
-	proved := r.count(End.proved)
-	switch n := len(r.Ends); {
-	case proved >= heldEnds && r.count(End.blames) >= apartEnds:
-		return Held
+	proved := r.count(Crash.proved)
+	switch n := len(r.Crashes); {
+	case proved >= heldEnds && r.count(Crash.blames) >= apartEnds:
+		return Blocked
 	case n >= doubtfulEnds && proved > 0:
-		return Doubtful
+		return Serialized
 	case n > 0:
 		return Suspect
 	}
 	return Clear
 }
 
-// Unproved reports whether the record has an end that isn't proved.
-func (r Record) Unproved() bool { return r.count(End.proved) < len(r.Ends) }
+// HasUnconfirmed reports whether the record has an end that isn't proved.
+func (r Record) HasUnconfirmed() bool { return r.count(Crash.proved) < len(r.Crashes) }
 
 // Validate reports what is wrong with a record that somebody else has made.
 func (r Record) Validate() error {
 	switch {
-	case r.Print == Print{}:
+	case r.Fingerprint == Fingerprint{}:
 		return errors.New("a suspect without a print")
 	case len(r.Workspace) > maxName:
 		return errors.Newf("a suspect's workspace has a name of %d bytes", len(r.Workspace))
-	case len(r.Ends) == 0 && r.Pardons == 0, len(r.Ends) > mostEnds:
-		return errors.Newf("a suspect with %d servers", len(r.Ends))
-	case !slices.IsSortedFunc(r.Ends, byServer):
+	case len(r.Crashes) == 0 && r.Pardons == 0, len(r.Crashes) > mostEnds:
+		return errors.Newf("a suspect with %d servers", len(r.Crashes))
+	case !slices.IsSortedFunc(r.Crashes, byServer):
 		return errors.New("a suspect's servers are out of order")
 	}
 	return nil
@@ -81,12 +81,12 @@
 func (r Record) with(o Record) Record {
 	switch {
 	case o.Pardons > r.Pardons:
-		r.Pardons, r.Ends = o.Pardons, nil
+		r.Pardons, r.Crashes = o.Pardons, nil
 	case o.Pardons < r.Pardons:
 		return r
 	}
-	all := slices.Clone(r.Ends)
-	for _, e := range o.Ends {
+	all := slices.Clone(r.Crashes)
+	for _, e := range o.Crashes {
 		i, known := slices.BinarySearchFunc(all, e, byServer)
 		switch {
 		case known:
@@ -95,26 +95,26 @@
 			all = slices.Insert(all, i, e)
 		}
 	}
-	r.Ends = all
+	r.Crashes = all
 	return r
 }
 
 // withProved returns the record with the end of a server proved, and whether that
 // is new.
 func (r Record) withProved(server uint32) (Record, bool) {
-	i, known := slices.BinarySearchFunc(r.Ends, End{Server: server}, byServer)
-	if !known || r.Ends[i].Proved {
+	i, known := slices.BinarySearchFunc(r.Crashes, Crash{Server: server}, byServer)
+	if !known || r.Crashes[i].Confirmed {
 		return r, false
 	}
-	r.Ends = slices.Clone(r.Ends)
-	r.Ends[i].Proved = true
+	r.Crashes = slices.Clone(r.Crashes)
+	r.Crashes[i].Confirmed = true
 	return r, true
 }
 
 // count counts the ends of a kind.
-func (r Record) count(of func(End) bool) int {
+func (r Record) count(of func(Crash) bool) int {
 	n := 0
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		if of(e) {
 			n++
 		}
@@ -123,17 +123,17 @@
 }
 
 // with returns the end with what another host says of it.
-func (e End) with(o End) End {
-	e.By = min(e.By, o.By)
-	e.Apart = e.Apart || o.Apart
-	e.Proved = e.Proved || o.Proved
+func (e Crash) with(o Crash) Crash {
+	e.Reporter = min(e.Reporter, o.Reporter)
+	e.Isolated = e.Isolated || o.Isolated
+	e.Confirmed = e.Confirmed || o.Confirmed
 	return e
 }
 
-func (e End) proved() bool { return e.Proved }
+func (e Crash) proved() bool { return e.Confirmed }
 
 // blames reports whether the end says more of this request than of others that
 // ran there.
-func (e End) blames() bool { return e.Proved && e.Apart }
+func (e Crash) blames() bool { return e.Confirmed && e.Isolated }
 
-func byServer(x, y End) int { return cmp.Compare(x.Server, y.Server) }
+func byServer(x, y Crash) int { return cmp.Compare(x.Server, y.Server) }
--- a/core/quarantine/roster.go
+++ b/core/quarantine/roster.go
@@ -7,12 +7,12 @@
 
 // What the platform's list says of a server.
 const (
-	// Unsaid is all that proves nothing.
-	Unsaid Listing = iota
+	// Inconclusive is all that proves nothing.
+	Inconclusive Listing = iota
 	// Listed servers live.
 	Listed
-	// Over are the starts of servers that are proved to have ended.
-	Over
+	// Terminated are the starts of servers that are proved to have ended.
+	Terminated
 )
 
 const (
@@ -34,8 +34,8 @@
 	// Listing is what the platform's list says of a server.
 	Listing int
 
-	// Start is a start of a server as the list has it.
-	Start struct {
+	// Instance is a start of a server as the list has it.
+	Instance struct {
 		// ID names the start, Name the server in all its starts.
 		ID, Name string
 		Hall     string
@@ -47,7 +47,7 @@
 	}
 
 	entry struct {
-		start    Start
+		start    Instance
 		listed   bool
 		replaced bool
 		left     time.Duration // when the list had it no more
@@ -59,14 +59,14 @@
 
 // Update takes in a list that is current. It is called for each change, and now and
 // then, since it forgets too.
-func (r *Roster) Update(list []Start, now time.Duration) {
+func (r *Roster) Update(list []Instance, now time.Duration) {
 	names := make(map[string]string, len(list))
 	for _, s := range list {
 		names[s.Name] = s.ID
-		e := r.starts[ServerOf(s.ID)]
+		e := r.starts[ServerDigest(s.ID)]
 		if e == nil {
 			e = &entry{start: s}
-			r.starts[ServerOf(s.ID)] = e
+			r.starts[ServerDigest(s.ID)] = e
 		}
 		e.listed, e.replaced = true, false
 	}
@@ -85,20 +85,20 @@
 	}
 }
 
-// Says returns what the list says of a server.
-func (r *Roster) Says(server uint32, now time.Duration) Listing {
+// Listing returns what the list says of a server.
+func (r *Roster) Listing(server uint32, now time.Duration) Listing {
 	e := r.starts[server]
 	switch {
 	case e == nil:
-		return Unsaid
+		return Inconclusive
 	case e.listed:
 		return Listed
 	case e.replaced:
-		return Over
+		return Terminated
 	case now-e.left < goneTime || !r.stands(e.start.Hall, now):
-		return Unsaid
+		return Inconclusive
 	}
-	return Over
+	return Terminated
 }
 
 // stands reports whether a hall has lost no more servers than it has.
@@ -116,11 +116,11 @@
 	return listed >= lost
 }
 
-// Check compares ends with the platform's list, and is called again and again while
+// Reconcile compares ends with the platform's list, and is called again and again while
 // that is current. Ends that the list proves are proved. Ends of servers that stay
 // on it long after are dropped: these have not ended. Whoever forges news can't
 // take servers off the list. It returns the changes.
-func (b *Book) Check(says func(server uint32) Listing, now time.Duration) []Change {
+func (b *Registry) Reconcile(says func(server uint32) Listing, now time.Duration) []Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var changes []Change
@@ -132,26 +132,26 @@
 }
 
 // prove proves the ends of a suspect that the list proves.
-func (b *Book) prove(s *suspect, says func(server uint32) Listing, now time.Duration) []Change {
+func (b *Registry) prove(s *suspect, says func(server uint32) Listing, now time.Duration) []Change {
 	r := s.record
-	for _, e := range s.record.Ends {
-		if !e.Proved && says(e.Server) == Over {
+	for _, e := range s.record.Crashes {
+		if !e.Confirmed && says(e.Server) == Terminated {
 			r, _ = r.withProved(e.Server)
 		}
 	}
-	if slices.Equal(r.Ends, s.record.Ends) {
+	if slices.Equal(r.Crashes, s.record.Crashes) {
 		return nil
 	}
 	return b.update(s, r, false, now) // others read the list too
 }
 
 // disbelieve drops ends of a suspect that the list belies.
-func (b *Book) disbelieve(s *suspect, says func(server uint32) Listing, now time.Duration) []Change {
+func (b *Registry) disbelieve(s *suspect, says func(server uint32) Listing, now time.Duration) []Change {
 	if s.checked || now-s.latest < listedTime {
 		return nil
 	}
-	listed := func(e End) bool { return says(e.Server) == Listed }
-	if !slices.ContainsFunc(s.record.Ends, listed) {
+	listed := func(e Crash) bool { return says(e.Server) == Listed }
+	if !slices.ContainsFunc(s.record.Crashes, listed) {
 		s.checked = true
 		return nil
 	}
@@ -163,11 +163,11 @@
 	}
 	s.checked = true
 	before := s.record.Stage()
-	s.record.Ends = slices.DeleteFunc(slices.Clone(s.record.Ends), listed)
-	s.blamed = s.blamed[:min(len(s.blamed), s.record.count(End.blames))]
+	s.record.Crashes = slices.DeleteFunc(slices.Clone(s.record.Crashes), listed)
+	s.blamed = s.blamed[:min(len(s.blamed), s.record.count(Crash.blames))]
 	b.reckon(s.record.Workspace)
 	switch after := s.record.Stage(); {
-	case len(s.record.Ends) == 0:
+	case len(s.record.Crashes) == 0:
 		return []Change{b.drop(s)}
 	case after != before:
 		return []Change{{Record: s.record, Stage: after}}
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -274,7 +274,7 @@
 		x.excluded[o.Addr] = true
 		x.inquire(v, o.Addr, apart, err)
 	} else if apart {
-		x.suspects.book.Answered(x.identity().Print, x.suspects.clock.Now())
+		x.suspects.book.ClearAnswered(x.identity().Fingerprint, x.suspects.clock.Now())
 	}
 	telemetry.End(span, err)
 	return err
--- a/daemon/dispatch/suspects.go
+++ b/daemon/dispatch/suspects.go
@@ -39,7 +39,7 @@
 	// suspects are the requests under which engines ended. It is safe for use by
 	// many goroutines.
 	suspects struct {
-		book  *quarantine.Book
+		book  *quarantine.Registry
 		clock *boottime.Clock
 		tell  func([]quarantine.Record)
 
@@ -57,7 +57,7 @@
 
 func newSuspects() *suspects {
 	return &suspects{
-		book: quarantine.NewBook(), clock: boottime.New(),
+		book: quarantine.NewRegistry(), clock: boottime.New(),
 		tell:   func([]quarantine.Record) {},
 		apart:  map[string]int{},
 		roster: quarantine.NewRoster(),
@@ -72,7 +72,7 @@
 			event.SuspectUnusable.Warn("error", err)
 			continue
 		}
-		d.suspects.note(d.suspects.book.Hear(r, d.suspects.clock.Now()))
+		d.suspects.note(d.suspects.book.Merge(r, d.suspects.clock.Now()))
 		d.witness(r)
 	}
 }
@@ -80,11 +80,11 @@
 // note writes what has changed.
 func (s *suspects) note(changes []quarantine.Change) {
 	for _, k := range changes {
-		if k.Forgotten {
-			event.SuspectForgotten.Info("print", k.Record.Print, "workspace", k.Record.Workspace)
+		if k.Removed {
+			event.SuspectForgotten.Info("print", k.Record.Fingerprint, "workspace", k.Record.Workspace)
 			continue
 		}
-		event.SuspectChanged.Warn("print", k.Record.Print, "workspace", k.Record.Workspace, "stage", k.Stage, "ended", len(k.Record.Ends))
+		event.SuspectChanged.Warn("print", k.Record.Fingerprint, "workspace", k.Record.Workspace, "stage", k.Stage, "ended", len(k.Record.Crashes))
 	}
 }
 
@@ -116,7 +116,7 @@
 
 // identity returns the request's digests. Its body is hashed once.
 func (x *run) identity() quarantine.Identity {
-	if x.digests.Print == (quarantine.Print{}) {
+	if x.digests.Fingerprint == (quarantine.Fingerprint{}) {
 		x.digests = x.request.identity().Identity()
 	}
 	return x.digests
@@ -125,19 +125,19 @@
 // stage is what becomes of the request. Its body is hashed only if a suspect looks
 // like it.
 func (x *run) stage() quarantine.Stage {
-	if !x.suspects.book.Knows(x.request.identity().Mark()) {
+	if !x.suspects.book.MayContain(x.request.identity().HeadHash()) {
 		return quarantine.Clear
 	}
 	x.suspects.note(x.suspects.book.Expire(x.suspects.clock.Now()))
 	x.suspects.check(x.loop.View())
-	return x.suspects.book.Stage(x.identity().Print)
+	return x.suspects.book.Stage(x.identity().Fingerprint)
 }
 
 // awaitVerdict waits while it is undecided whether engines have ended under the
 // request.
 func (x *run) awaitVerdict(ctx context.Context) {
-	for x.stage() != quarantine.Clear && x.suspects.book.Undecided(x.identity().Print, x.suspects.clock.Now()) {
-		if pause.For(ctx, quarantine.VerdictPause) != nil {
+	for x.stage() != quarantine.Clear && x.suspects.book.AwaitsConfirmation(x.identity().Fingerprint, x.suspects.clock.Now()) {
+		if pause.For(ctx, quarantine.ConfirmationPollInterval) != nil {
 			return // placing looks at ctx
 		}
 	}
@@ -145,7 +145,7 @@
 
 // held refuses a request under which too many engines ended.
 func (x *run) held(s quarantine.Stage) error {
-	if s != quarantine.Held {
+	if s != quarantine.Blocked {
 		return nil
 	}
 	return fault.New(fault.EndsEngines, "engines have ended under this request, one after the other",
@@ -184,7 +184,7 @@
 			}
 		}
 	}
-	return route.Owner(x.request.identity().Mark().String(), names), len(names) > 0
+	return route.Owner(x.request.identity().HeadHash().String(), names), len(names) > 0
 }
 
 // take places a suspect on an engine.
@@ -207,13 +207,13 @@
 	event.EngineEnded.Warn("request", x.request.ID, "engine", start, "workspace", x.request.Workspace.Workspace)
 	x.suspects.check(v) // which has this start, if the next view has another
 	id := x.identity()
-	x.suspects.note(x.suspects.book.Ended(id, quarantine.End{
-		Server: quarantine.ServerOf(start),
-		By:     quarantine.ServerOf(v.Self.Addr),
-		Apart:  apart,
-		Proved: len(v.Members) <= 1, // a daemon that is alone misleads nobody
+	x.suspects.note(x.suspects.book.AddCrash(id, quarantine.Crash{
+		Server:    quarantine.ServerDigest(start),
+		Reporter:  quarantine.ServerDigest(v.Self.Addr),
+		Isolated:  apart,
+		Confirmed: len(v.Members) <= 1, // a daemon that is alone misleads nobody
 	}, x.suspects.clock.Now()))
-	r, _ := x.suspects.book.Record(id.Print, x.suspects.clock.Now())
+	r, _ := x.suspects.book.Lookup(id.Fingerprint, x.suspects.clock.Now())
 	x.suspects.tell([]quarantine.Record{r})
 }
 
--- a/daemon/dispatch/witness.go
+++ b/daemon/dispatch/witness.go
@@ -25,19 +25,19 @@
 		s.seen = v
 		s.roster.Update(starts(v), now)
 	}
-	s.note(s.book.Check(func(server uint32) quarantine.Listing {
-		if l := s.roster.Says(server, now); l == quarantine.Over {
+	s.note(s.book.Reconcile(func(server uint32) quarantine.Listing {
+		if l := s.roster.Listing(server, now); l == quarantine.Terminated {
 			return l
 		}
-		return quarantine.Unsaid // engines that are down stay in the view for minutes
+		return quarantine.Inconclusive // engines that are down stay in the view for minutes
 	}, now))
 }
 
 // starts lists the engines for a roster.
-func starts(v *control.View) []quarantine.Start {
-	var list []quarantine.Start
+func starts(v *control.View) []quarantine.Instance {
+	var list []quarantine.Instance
 	for _, e := range v.Engines {
-		list = append(list, quarantine.Start{ID: startOf(e.Addr, e.Incarnation), Name: e.Addr, Hall: e.Hall})
+		list = append(list, quarantine.Instance{ID: startOf(e.Addr, e.Incarnation), Name: e.Addr, Hall: e.Hall})
 	}
 	return list
 }
@@ -46,12 +46,12 @@
 // witness, and tells others if it finds them closed too. Nobody waits for it.
 func (d *Dispatcher) witness(r quarantine.Record) {
 	v := d.loop.View()
-	for _, e := range r.Ends {
-		if e.Proved {
+	for _, e := range r.Crashes {
+		if e.Confirmed {
 			continue
 		}
 		for _, g := range v.Engines {
-			if quarantine.ServerOf(startOf(g.Addr, g.Incarnation)) == e.Server && witnesses(v, g.Hall, e) {
+			if quarantine.ServerDigest(startOf(g.Addr, g.Incarnation)) == e.Server && witnesses(v, g.Hall, e) {
 				d.background(func() { d.look(g.Addr, e.Server) })
 			}
 		}
@@ -59,14 +59,14 @@
 }
 
 // witnesses reports whether this daemon is to look at an engine of a hall.
-func witnesses(v *control.View, hall string, e quarantine.End) bool {
+func witnesses(v *control.View, hall string, e quarantine.Crash) bool {
 	var hosts []quarantine.Host
 	for _, m := range v.Members {
 		if m.Status == member.Alive || m.Status == member.Suspect {
-			hosts = append(hosts, quarantine.Host{Number: quarantine.ServerOf(m.Addr), Hall: m.Hall})
+			hosts = append(hosts, quarantine.Host{Number: quarantine.ServerDigest(m.Addr), Hall: m.Hall})
 		}
 	}
-	return slices.Contains(quarantine.Witnesses(e.Server, hall, e.By, hosts), quarantine.ServerOf(v.Self.Addr))
+	return slices.Contains(quarantine.Witnesses(e.Server, hall, e.Reporter, hosts), quarantine.ServerDigest(v.Self.Addr))
 }
 
 // look proves an engine's end, if this daemon finds it closed too.
@@ -74,7 +74,7 @@
 	if !d.closed(addr, lookTime) {
 		return
 	}
-	rs, changes := d.suspects.book.Prove(digest, d.suspects.clock.Now())
+	rs, changes := d.suspects.book.ConfirmCrash(digest, d.suspects.clock.Now())
 	d.suspects.note(changes)
 	if len(rs) > 0 {
 		d.suspects.tell(rs)
--- a/daemon/dispatch/witness_test.go
+++ b/daemon/dispatch/witness_test.go
@@ -26,10 +26,10 @@
 		t.Run(name, func(t *testing.T) {
 			s, id := newSuspects(), quarantine.Request{Target: "/deadly"}.Identity()
 			s.check(engine(1, directory.Up))
-			s.book.Ended(id, quarantine.End{Server: quarantine.ServerOf(startOf("a", 1)), By: 1}, s.clock.Now())
+			s.book.AddCrash(id, quarantine.Crash{Server: quarantine.ServerDigest(startOf("a", 1)), Reporter: 1}, s.clock.Now())
 			s.check(tc.then)
-			if r, _ := s.book.Record(id.Print, s.clock.Now()); r.Unproved() == tc.proved {
-				t.Errorf("known of the prompt: %+v, want proved %v", r.Ends, tc.proved)
+			if r, _ := s.book.Lookup(id.Fingerprint, s.clock.Now()); r.HasUnconfirmed() == tc.proved {
+				t.Errorf("known of the prompt: %+v, want proved %v", r.Crashes, tc.proved)
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 // an engine that one of them has found closed.
 func TestDaemonsOfTheHallAreWitnesses(t *testing.T) {
 	members := []member.Member{{Addr: "a1", Hall: "a"}, {Addr: "a2", Hall: "a"}, {Addr: "b1", Hall: "b"}}
-	e := quarantine.End{Server: 7, By: quarantine.ServerOf("b1")}
+	e := quarantine.Crash{Server: 7, Reporter: quarantine.ServerDigest("b1")}
 	for _, m := range members {
 		v := &control.View{Self: m, Members: members}
 		if got := witnesses(v, "a", e); got != (m.Hall == "a") {
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -85,7 +85,7 @@
 		gateway  *gateway.Gateway
 		news     *news.News
 		// quarantine is what is known of requests under which servers ended.
-		quarantine *quarantine.Book
+		quarantine *quarantine.Registry
 		// notices are what servers have said of themselves.
 		notices *notice.Book
 		// grants hands out the requests that limited servers take from all hosts.
@@ -118,7 +118,7 @@
 		metrics:  telemetry.NewMetrics(),
 		clock:    boottime.New(),
 
-		quarantine: quarantine.NewBook(),
+		quarantine: quarantine.NewRegistry(),
 		notices:    notice.NewBook(),
 		changed:    make(chan struct{}, 1),
 		known:      make(chan struct{}, 1),
--- a/daemon/entry/operators.go
+++ b/daemon/entry/operators.go
@@ -28,7 +28,7 @@
 	}
 
 	pardonOrder struct {
-		Print quarantine.Print `json:"print"`
+		Print quarantine.Fingerprint `json:"print"`
 	}
 
 	pardonReply struct {
@@ -57,9 +57,9 @@
 
 func (e *Entry) listSuspects(w http.ResponseWriter, _ *http.Request) {
 	reply := suspectsReply{Suspects: []suspectStatus{}}
-	for _, r := range e.quarantine.All() {
+	for _, r := range e.quarantine.Records() {
 		reply.Suspects = append(reply.Suspects, suspectStatus{
-			Print: r.Print.String(), Same: r.Mark.String(), Workspace: r.Workspace, Stage: r.Stage().String(), Ended: len(r.Ends),
+			Print: r.Fingerprint.String(), Same: r.HeadHash.String(), Workspace: r.Workspace, Stage: r.Stage().String(), Ended: len(r.Crashes),
 		})
 	}
 	e.reply(w, http.StatusOK, reply)
--- a/daemon/entry/suspects.go
+++ b/daemon/entry/suspects.go
@@ -58,7 +58,7 @@
 // of its own. It is called again and again, with a rising number.
 func (e *Entry) tellSuspects(number int) {
 	var rs []quarantine.Record
-	for _, t := range e.quarantine.Own(e.clock.Now()) {
+	for _, t := range e.quarantine.OwnRecords(e.clock.Now()) {
 		again := lasts(t) && number%lastingEvery == 0
 		if (t.Age < suspectNews || again) && len(rs) < mostTold {
 			rs = append(rs, t.Record)
@@ -68,9 +68,9 @@
 }
 
 // lasts reports whether others are told of a suspect also later.
-func lasts(t quarantine.Told) bool {
+func lasts(t quarantine.OwnRecord) bool {
 	switch t.Record.Stage() {
-	case quarantine.Held:
+	case quarantine.Blocked:
 		return true
 	case quarantine.Clear:
 		return t.Age < clearedNews
@@ -97,7 +97,7 @@
 // hosts of other cells, and those that start when no other host is left.
 func (e *Entry) hearStored(ss []watch.Suspect) {
 	for _, s := range ss {
-		if age, known := e.watcher.Age(s.At()); !known || age < quarantine.HeldTime {
+		if age, known := e.watcher.Age(s.At()); !known || age < quarantine.BlockedRetention {
 			e.heard(storedName, []quarantine.Record{s.Record})
 		}
 	}
@@ -116,21 +116,21 @@
 // what was cleared of it. That is one call for each, which is rare: a request has
 // to end three servers first.
 func (e *Entry) storeSuspects(ctx context.Context) {
-	stored := map[quarantine.Print]uint32{} // how often each was cleared as it was stored
+	stored := map[quarantine.Fingerprint]uint32{} // how often each was cleared as it was stored
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-e.changed:
 		}
-		for _, t := range e.quarantine.Own(e.clock.Now()) {
-			pardons, known := stored[t.Record.Print]
-			held := t.Record.Stage() == quarantine.Held
+		for _, t := range e.quarantine.OwnRecords(e.clock.Now()) {
+			pardons, known := stored[t.Record.Fingerprint]
+			held := t.Record.Stage() == quarantine.Blocked
 			if known && pardons == t.Record.Pardons || !known && !held {
 				continue
 			}
 			if e.storeSuspect(ctx, t.Record) {
-				stored[t.Record.Print] = t.Record.Pardons
+				stored[t.Record.Fingerprint] = t.Record.Pardons
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 		row, err := json.Marshal(watch.NewSuspect(r, at))
 		if err == nil {
 			c, cancel := context.WithTimeout(ctx, announceTime)
-			_, err = e.platform.Source.Put(c, e.platform.Tables.Hosts, watch.SuspectKey(r.Print), row)
+			_, err = e.platform.Source.Put(c, e.platform.Tables.Hosts, watch.SuspectKey(r.Fingerprint), row)
 			cancel()
 		}
 		if err == nil {
--- a/daemon/entry/suspects_test.go
+++ b/daemon/entry/suspects_test.go
@@ -28,18 +28,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	id := quarantine.Request{Workspace: "w", Target: "/deadly"}.Identity()
-	e.quarantine.Ended(id, provedEnd("s0", true), 0)
+	e.quarantine.AddCrash(id, provedEnd("s0", true), 0)
 	e.suspectsChanged()
 	<-e.changed // who stores has looked: it isn't held yet
 	for n := range 2 {
-		other := quarantine.NewBook()
-		other.Ended(id, provedEnd(fmt.Sprintf("s%d", n+1), false), 0)
-		e.heard("other", []quarantine.Record{other.All()[0]})
+		other := quarantine.NewRegistry()
+		other.AddCrash(id, provedEnd(fmt.Sprintf("s%d", n+1), false), 0)
+		e.heard("other", []quarantine.Record{other.Records()[0]})
 	}
 	go e.storeSuspects(ctx)
 	select {
 	case key := <-put:
-		if key != watch.SuspectKey(id.Print) {
+		if key != watch.SuspectKey(id.Fingerprint) {
 			t.Errorf("stored as %s", key)
 		}
 	case <-time.After(5 * time.Second):
@@ -47,6 +47,6 @@
 	}
 }
 
-func provedEnd(server string, apart bool) quarantine.End {
-	return quarantine.End{Server: quarantine.ServerOf(server), Apart: apart, Proved: true}
+func provedEnd(server string, apart bool) quarantine.Crash {
+	return quarantine.Crash{Server: quarantine.ServerDigest(server), Isolated: apart, Confirmed: true}
 }
--- a/daemon/gateway/call.go
+++ b/daemon/gateway/call.go
@@ -23,8 +23,8 @@
 	header    http.Header
 	body      []byte
 	key       string
-	mark      quarantine.Mark
-	print     quarantine.Print // worked out where it is needed
+	mark      quarantine.HeadHash
+	print     quarantine.Fingerprint // worked out where it is needed
 	workspace site.Workspace
 	route     site.Route
 	work      schedule.Work
@@ -79,7 +79,7 @@
 	if no := g.permit(c, s); no != nil {
 		return c, no
 	}
-	c.mark = c.identity().Mark()
+	c.mark = c.identity().HeadHash()
 	c.header = passed(r.Header, g.dialect.Private...)
 	c.work.Prompt, c.work.Answer = sizes(r.Header.Get(g.dialect.Size))
 	if n, err := strconv.Atoi(r.Header.Get(g.dialect.AnswerHint)); err == nil && n > 0 {
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -84,7 +84,7 @@
 		memory         *memory.Keeper // nil if none can be set aside
 		shares         *shares
 		exchanges      *exchanges
-		quarantine     *quarantine.Book
+		quarantine     *quarantine.Registry
 		notices        *notice.Book
 		roster         *quarantine.Roster // upkeep's, of the servers listed
 		listed         *backend.View
@@ -134,7 +134,7 @@
 
 // WithQuarantine sets what is known of requests under which servers ended, and who
 // is told that this host knows more.
-func WithQuarantine(b *quarantine.Book, changed func()) Option {
+func WithQuarantine(b *quarantine.Registry, changed func()) Option {
 	return func(g *Gateway) { g.quarantine, g.suspects = b, changed }
 }
 
@@ -173,7 +173,7 @@
 		failed:    func(string) {},
 
 		exchanges:  newExchanges(),
-		quarantine: quarantine.NewBook(),
+		quarantine: quarantine.NewRegistry(),
 		notices:    notice.NewBook(),
 		roster:     quarantine.NewRoster(),
 		looks:      newLooks(),
@@ -322,8 +322,8 @@
 		return schedule.Placement{}, service, refuse(http.StatusServiceUnavailable, "no_server", busyWait)
 	}
 	mark := uint64(c.mark)
-	if confined && stage < quarantine.Doubtful {
-		mark = uint64(quarantine.WorkspaceMark(c.workspace.Name))
+	if confined && stage < quarantine.Serialized {
+		mark = uint64(quarantine.WorkspaceHash(c.workspace.Name))
 	}
 	ready := s.ready(service.Name)
 	open, _ := g.notices.Open(ready, g.clock.Now())
@@ -337,7 +337,7 @@
 		LeadOnly:  g.notices.Limited(open),
 		Mark:      mark,
 		Apart:     confined || stage >= quarantine.Suspect,
-		Single:    stage >= quarantine.Doubtful,
+		Single:    stage >= quarantine.Serialized,
 		Copied:    confined || c.copied,
 	})
 	if ok {
@@ -347,7 +347,7 @@
 	if _, wait := g.notices.Open(ready, g.clock.Now()); wait > 0 {
 		return p, service, g.shut(ready, wait)
 	}
-	if stage >= quarantine.Doubtful {
+	if stage >= quarantine.Serialized {
 		return p, service, refuse(http.StatusServiceUnavailable, "suspect_waits", apartWait)
 	}
 	return p, service, refuse(http.StatusServiceUnavailable, "no_server", busyWait)
--- a/daemon/gateway/request.go
+++ b/daemon/gateway/request.go
@@ -60,7 +60,7 @@
 	s := g.state()
 	c.sent = g.clock.Now()
 	if c.sent >= c.due || !s.Servers.Takes(p.Lead) || !g.willing(c, p) || g.permit(c, s) != nil ||
-		g.stage(c) == quarantine.Held {
+		g.stage(c) == quarantine.Blocked {
 		return errForbidden
 	}
 	return nil
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -43,11 +43,11 @@
 // stage is what becomes of a call by what is known of its request. The body of a
 // request is hashed only if a suspect looks like it.
 func (g *Gateway) stage(c *call) quarantine.Stage {
-	if !g.quarantine.Knows(c.mark) {
+	if !g.quarantine.MayContain(c.mark) {
 		return quarantine.Clear
 	}
-	if c.print == (quarantine.Print{}) {
-		c.print = c.identity().Print()
+	if c.print == (quarantine.Fingerprint{}) {
+		c.print = c.identity().Fingerprint()
 	}
 	return g.quarantine.Stage(c.print)
 }
@@ -60,8 +60,8 @@
 		return // whoever tries it next looks at ctx
 	}
 	c.ended = false
-	for g.stage(c) != quarantine.Clear && g.quarantine.Undecided(c.print, g.clock.Now()) {
-		if pause.For(ctx, quarantine.VerdictPause) != nil {
+	for g.stage(c) != quarantine.Clear && g.quarantine.AwaitsConfirmation(c.print, g.clock.Now()) {
+		if pause.For(ctx, quarantine.ConfirmationPollInterval) != nil {
 			return // whoever tries it next looks at ctx
 		}
 	}
@@ -69,13 +69,13 @@
 
 // held refuses a call whose request has ended too many servers.
 func (g *Gateway) held(c *call) *refusal {
-	if g.stage(c) != quarantine.Held {
+	if g.stage(c) != quarantine.Blocked {
 		return nil
 	}
-	r, age := g.quarantine.Record(c.print, g.clock.Now())
+	r, age := g.quarantine.Lookup(c.print, g.clock.Now())
 	g.log.Write(event.SuspectRefused, slog.String("id", c.id), slog.String("same", c.mark.String()),
 		slog.String("print", c.print.String()), slog.String("workspace", c.workspace.Name),
-		slog.Int("ended", len(r.Ends)), slog.Duration("evidence_age", age))
+		slog.Int("ended", len(r.Crashes)), slog.Duration("evidence_age", age))
 	return refuse(heldStatus, "request_ends_servers", 0)
 }
 
@@ -118,11 +118,11 @@
 	g.log.Write(event.ServerEnded, slog.String("server", server.ID), slog.String("id", c.id),
 		slog.String("same", c.mark.String()), slog.String("workspace", c.workspace.Name), slog.String("why", out.why),
 		slog.Bool("apart", out.apart), slog.Bool("replaced", replaced))
-	changes := g.quarantine.Ended(c.identity().Identity(), quarantine.End{
-		Server: quarantine.ServerOf(server.ID),
-		By:     g.board.Host(),
-		Apart:  out.apart,
-		Proved: replaced || len(g.hosts()) == 0, // a host that is alone misleads nobody
+	changes := g.quarantine.AddCrash(c.identity().Identity(), quarantine.Crash{
+		Server:    quarantine.ServerDigest(server.ID),
+		Reporter:  g.board.Host(),
+		Isolated:  out.apart,
+		Confirmed: replaced || len(g.hosts()) == 0, // a host that is alone misleads nobody
 	}, g.clock.Now())
 	g.suspected(byThisHost, changes)
 	g.suspects() // others look at this server too, whatever stage that makes
@@ -145,7 +145,7 @@
 
 // answeredWhole clears a suspect: a request that was answered ends no servers.
 func (g *Gateway) answeredWhole(c *call) {
-	if g.stage(c) != quarantine.Clear && g.quarantine.Answered(c.print, g.clock.Now()) {
+	if g.stage(c) != quarantine.Clear && g.quarantine.ClearAnswered(c.print, g.clock.Now()) {
 		g.log.Write(event.SuspectCleared, slog.String("id", c.id), slog.String("same", c.mark.String()),
 			slog.String("print", c.print.String()))
 		g.suspects()
@@ -153,7 +153,7 @@
 }
 
 // Pardon clears a suspect for an operator, and reports whether there was one.
-func (g *Gateway) Pardon(p quarantine.Print) bool {
+func (g *Gateway) Pardon(p quarantine.Fingerprint) bool {
 	if !g.quarantine.Pardon(p, g.clock.Now()) {
 		return false
 	}
@@ -171,7 +171,7 @@
 			g.log.Write(event.NewsLost, slog.String("by", by), slog.String("error", err.Error()))
 			continue
 		}
-		changes := g.quarantine.Hear(r, g.clock.Now())
+		changes := g.quarantine.Merge(r, g.clock.Now())
 		g.suspected(by, changes)
 		changed = changed || len(changes) > 0
 		g.witness(r)
@@ -184,16 +184,16 @@
 func (g *Gateway) suspected(by string, changes []quarantine.Change) {
 	for _, k := range changes {
 		g.metrics.Count("gateway_suspects", 1, "stage", k.Stage.String())
-		if by != byThisHost && k.Stage < quarantine.Doubtful {
+		if by != byThisHost && k.Stage < quarantine.Serialized {
 			continue // its host writes it: with 72 hosts that is one line for 72
 		}
 		e := event.SuspectChanged
-		if k.Forgotten {
+		if k.Removed {
 			e = event.SuspectForgotten
 		}
-		g.log.Write(e, slog.String("same", k.Record.Mark.String()), slog.String("print", k.Record.Print.String()),
+		g.log.Write(e, slog.String("same", k.Record.HeadHash.String()), slog.String("print", k.Record.Fingerprint.String()),
 			slog.String("workspace", k.Record.Workspace), slog.String("stage", k.Stage.String()),
-			slog.Int("ended", len(k.Record.Ends)), slog.String("by", by))
+			slog.Int("ended", len(k.Record.Crashes)), slog.String("by", by))
 	}
 }
 
@@ -207,20 +207,20 @@
 		g.listed = servers
 		g.roster.Update(starts(servers), now)
 	}
-	says := func(s uint32) quarantine.Listing { return g.roster.Says(s, now) }
-	changes := g.quarantine.Check(says, now)
+	says := func(s uint32) quarantine.Listing { return g.roster.Listing(s, now) }
+	changes := g.quarantine.Reconcile(says, now)
 	g.suspected(byThisHost, changes)
-	if slices.ContainsFunc(changes, func(k quarantine.Change) bool { return !k.Forgotten }) {
+	if slices.ContainsFunc(changes, func(k quarantine.Change) bool { return !k.Removed }) {
 		g.suspects()
 	}
 }
 
 // starts lists the servers for a roster.
-func starts(servers *backend.View) []quarantine.Start {
-	var list []quarantine.Start
+func starts(servers *backend.View) []quarantine.Instance {
+	var list []quarantine.Instance
 	for _, id := range servers.IDs() {
 		s, _ := servers.Get(id)
-		list = append(list, quarantine.Start{ID: s.ID, Name: s.PlatformID(), Hall: s.Hall})
+		list = append(list, quarantine.Instance{ID: s.ID, Name: s.PlatformID(), Hall: s.Hall})
 	}
 	return list
 }
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -76,7 +76,7 @@
 		return outcome{result: final, why: no.why, no: no}
 	}
 	stage := g.stage(c)
-	if stage == quarantine.Held {
+	if stage == quarantine.Blocked {
 		no := g.held(c)
 		return outcome{result: final, why: no.why, no: no}
 	}
--- a/daemon/gateway/witness.go
+++ b/daemon/gateway/witness.go
@@ -15,7 +15,7 @@
 // many goroutines.
 type looks struct {
 	mu   sync.Mutex
-	last map[uint32]time.Duration // by [quarantine.ServerOf]
+	last map[uint32]time.Duration // by [quarantine.ServerDigest]
 }
 
 func newLooks() *looks { return &looks{last: map[uint32]time.Duration{}} }
@@ -42,8 +42,8 @@
 // witness looks at servers that other hosts have found closed, where this one is a
 // witness. Nobody waits for it.
 func (g *Gateway) witness(r quarantine.Record) {
-	for _, e := range r.Ends {
-		if e.Proved || !g.looks.begin(e.Server, g.clock.Now()) {
+	for _, e := range r.Crashes {
+		if e.Confirmed || !g.looks.begin(e.Server, g.clock.Now()) {
 			continue
 		}
 		if s, ok := g.digested(e.Server); ok && !s.Draining && g.witnesses(s, e) {
@@ -56,7 +56,7 @@
 func (g *Gateway) digested(server uint32) (backend.Server, bool) {
 	servers := g.state().Servers
 	for _, id := range servers.IDs() {
-		if quarantine.ServerOf(id) == server {
+		if quarantine.ServerDigest(id) == server {
 			return servers.Get(id)
 		}
 	}
@@ -65,13 +65,13 @@
 
 // witnesses reports whether this host is to look at a server that another has found
 // closed, by the hosts that were heard lately.
-func (g *Gateway) witnesses(s backend.Server, e quarantine.End) bool {
+func (g *Gateway) witnesses(s backend.Server, e quarantine.Crash) bool {
 	now := g.clock.Now()
 	hosts := slices.DeleteFunc(g.hosts(), func(h quarantine.Host) bool {
-		return h.Number != e.By && !g.board.HeardFrom(h.Number, now)
+		return h.Number != e.Reporter && !g.board.HeardFrom(h.Number, now)
 	})
 	hosts = append(hosts, quarantine.Host{Number: g.board.Host(), Hall: g.hall})
-	return slices.Contains(quarantine.Witnesses(e.Server, s.Hall, e.By, hosts), g.board.Host())
+	return slices.Contains(quarantine.Witnesses(e.Server, s.Hall, e.Reporter, hosts), g.board.Host())
 }
 
 // look proves a server's end, if this host finds it closed too.
@@ -79,7 +79,7 @@
 	if !g.closed(s) {
 		return
 	}
-	rs, changes := g.quarantine.Prove(digest, g.clock.Now())
+	rs, changes := g.quarantine.ConfirmCrash(digest, g.clock.Now())
 	if len(rs) == 0 {
 		return // others were faster
 	}
--- a/daemon/watch/suspects.go
+++ b/daemon/watch/suspects.go
@@ -34,7 +34,7 @@
 func (s Suspect) At() time.Duration { return time.Duration(s.AtMS) * time.Millisecond }
 
 // SuspectKey is the key of a suspect in the table of hosts.
-func SuspectKey(p quarantine.Print) string {
+func SuspectKey(p quarantine.Fingerprint) string {
 	return fmt.Sprintf("%s%02d", suspectPrefix, p[0]%suspectKeys)
 }
 
