--- a/core/quarantine/confine.go
+++ b/core/quarantine/confine.go
@@ -6,62 +6,64 @@
 )
 
 const (
-	// confineAfter is how many servers have to end within confineTime under a
-	// workspace's suspects that ran apart, before all that it sends runs on one
-	// server. One may be chance; whoever sends one deadly request after the other
-	// would end all servers though each request is held in the end. A request that
-	// is held ends no more of them, and counts once.
-	confineAfter = 3
-	confineTime  = time.Minute
-	// endPause lies between two ends under such a workspace: as servers are back
-	// after some four seconds, it keeps four of them down at most.
-	endPause = time.Second
+	// confineAfterCrashes is the number of attributable crashes within confineWindow
+	// after which all requests of a workspace are confined to one server. A single
+	// crash may be chance. Without this rule a workspace that sends a new fatal
+	// request after each one could crash all servers, although each request is
+	// blocked in the end. A blocked request crashes no more servers and counts once.
+	confineAfterCrashes = 3
+	confineWindow       = time.Minute
+	// crashPause is the time for which a confined workspace is paused after each
+	// crash. A server restarts within about 4 s, so at most four servers are down at
+	// the same time.
+	crashPause = time.Second
 )
 
-// offender is a workspace under whose suspects servers ended that ran apart: when
-// they did, the last confineAfter times, and when any server of its suspects did.
-type offender struct {
-	ends []time.Duration
-	last time.Duration
+// crashHistory holds the times of the last confineAfterCrashes attributable crashes of
+// a workspace's suspects, and the time of the last crash of any kind.
+type crashHistory struct {
+	attributedAt []time.Duration
+	last         time.Duration
 }
 
-// Confined reports whether all that a workspace sends has to run on one server now,
-// and whether it has to wait since one has just ended under it. Callers without a
-// workspace are many: one of them doesn't confine the others.
-func (b *Registry) Confined(workspace string, now time.Duration) (confined, waits bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	o, known := b.offenders[workspace]
-	if !known || len(o.ends) < confineAfter || now-o.ends[0] >= confineTime {
+// Confined reports whether all requests of a workspace have to run on one server, and
+// whether they have to wait because a server has just crashed while serving one of
+// them. Requests without a workspace are never confined: they come from many callers,
+// and one of these must not confine the others.
+func (reg *Registry) Confined(workspace string, now time.Duration) (confined, paused bool) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	h, found := reg.histories[workspace]
+	if !found || len(h.attributedAt) < confineAfterCrashes || now-h.attributedAt[0] >= confineWindow {
 		return false, false
 	}
-	return true, now-o.last < endPause
+	return true, now-h.last < crashPause
 }
 
-// reckon works out anew what a workspace's suspects say of it. It is called when
-// one of them has changed, which is rare.
-func (b *Registry) reckon(workspace string) {
+// updateHistory recomputes the crash history of a workspace from its suspects. It is
+// called whenever one of them changes, which is rare.
+func (reg *Registry) updateHistory(workspace string) {
 	if workspace == "" {
 		return
 	}
-	var o offender
-	for _, s := range b.suspects {
+	var h crashHistory
+	for _, s := range reg.suspects {
 		if s.record.Workspace != workspace || len(s.record.Crashes) == 0 {
 			continue
 		}
-		o.last = max(o.last, s.latest)
+		h.last = max(h.last, s.changed)
 		switch {
 		case s.record.Stage() == Blocked:
-			o.ends = append(o.ends, s.latest)
+			h.attributedAt = append(h.attributedAt, s.changed)
 		default:
-			o.ends = append(o.ends, s.blamed...)
+			h.attributedAt = append(h.attributedAt, s.attributedAt...)
 		}
 	}
-	if len(o.ends) == 0 {
-		delete(b.offenders, workspace)
+	if len(h.attributedAt) == 0 {
+		delete(reg.histories, workspace)
 		return
 	}
-	slices.Sort(o.ends)
-	o.ends = o.ends[max(len(o.ends)-confineAfter, 0):]
-	b.offenders[workspace] = o
+	slices.Sort(h.attributedAt)
+	h.attributedAt = h.attributedAt[max(len(h.attributedAt)-confineAfterCrashes, 0):]
+	reg.histories[workspace] = h
 }
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -1,100 +1,107 @@
-// Package quarantine remembers requests under which backend servers ended, so
-// that one request can't end server after server.
+// Package quarantine tracks requests that were running on backend servers when these
+// crashed, so that a single fatal request can't crash one server after another.
 //
-// A server that ends takes some ten requests with it, and one of them may be the
-// cause. A request under which a server ended is a suspect: from then on it runs
-// only where no other suspect runs, and all of its copies on one server, so that
-// the next end tells which one it was. One that is answered is cleared. One under
-// which several servers ended, at least one of them while it was apart, is held:
-// it is refused at once. A [Registry] holds what is known of suspects, by this host's
-// evidence and by that of others, who are told a [Record] of each. Records only
-// grow by merging, so that they may be lost, told twice and in any order.
+// A crashing server has some ten requests in flight, any of which may be the cause.
+// Each of them becomes a suspect: from then on it runs only on servers without other
+// suspects, and all of its copies run on the same server, so that the next crash can
+// be attributed to it. A suspect that is answered is cleared. A request that was
+// running during several crashes, at least one of them while it was isolated, is
+// blocked: it is refused without being run. A [Registry] stores one [Record] for each
+// suspect. It collects this host's own evidence and the records that other hosts send.
+// Merging records is commutative and idempotent, so that they may be lost, duplicated
+// and reordered on the way.
 //
-// The load that this answers: a request that ends each server which begins to run
-// it comes again from several callers, at any host, many times a second, beside
-// ordinary requests.
+// The failure scenario: a request that crashes every server which starts to run it is
+// sent by several callers, to any host, many times per second, mixed with ordinary
+// requests.
 //
-// # What proves an end
+// # Confirmed crashes
 //
-// One host that finds a server's port closed may itself be cut off from it. That
-// is enough for what costs a caller nothing: to run the request apart. Whatever
-// refuses a request, or has it wait, needs ends that are proved, by one of two:
+// A host that finds the port of a server closed may itself be cut off from that
+// server. Its observation alone suffices for measures that cost callers nothing, such
+// as isolating the request. Whatever refuses or delays a request requires confirmed
+// crashes. There are two ways to confirm a crash:
 //
-//   - a second host finds the port closed too, one of them in the server's own
-//     data hall: it doesn't reach the server over what was cut ([Witnesses]);
-//   - the platform's list, while it is current, has a later start of the server,
-//     or has lost the server while it goes on naming others of its hall: a hall
-//     that is cut off loses all ([Roster]).
+//   - A second host finds the port closed too, and one of the two is in the server's
+//     own data hall, so that it doesn't depend on the links between halls
+//     ([Witnesses]).
+//   - The platform's server list, while it is current, shows a later start of the
+//     server, or no longer shows the server but still shows others of its hall. A hall
+//     that is cut off loses all of its servers ([Roster]).
 //
-// The first takes some ways between hosts, the second seconds.
+// The first takes a few network delays between hosts, the second takes seconds.
 //
 // # Usage
 //
-//	b := quarantine.NewBook()
-//	if b.Knows(r.Mark()) && b.Stage(r.Print(), now) == quarantine.Held { ... refuse }
-//	b.Ended(r.Identity(), quarantine.End{Server: ..., By: host}, now)   // with the answer due
-//	b.Answered(print, now)
-//	for _, t := range b.Own(now) { ... tell others of t.Record }
-//	b.Hear(record, now)
-//	b.Prove(server, now)   // as a witness
+//	reg := quarantine.NewRegistry()
+//	if reg.MayContain(r.HeadHash()) && reg.Stage(r.Fingerprint()) == quarantine.Blocked { ... refuse }
+//	reg.AddCrash(r.Identity(), quarantine.Crash{Server: ..., Reporter: host}, now)   // before the answer
+//	reg.ClearAnswered(fingerprint, now)
+//	for _, o := range reg.OwnRecords(now) { ... send o.Record to other hosts }
+//	reg.Merge(record, now)
+//	reg.ConfirmCrash(server, now)   // as a witness
 package quarantine
 
 import "time"
 
-// What becomes of a request.
+// Stages of a request.
 const (
-	// Clear requests run anywhere.
+	// Clear requests run on any server.
 	Clear Stage = iota
-	// Suspect ones run where no other suspect runs, if there is such a server.
+	// Suspect requests run on a server without other suspects, if there is one.
 	Suspect
-	// Serialized ones run like suspects, and one copy at a time.
+	// Serialized requests run like suspects, and only one copy at a time.
 	Serialized
-	// Blocked ones are refused.
+	// Blocked requests are refused.
 	Blocked
 )
 
 const (
-	// doubtfulEnds is under how many ended servers only one copy may run at a
-	// time, and heldEnds under how many a request is held: the users allow three.
-	doubtfulEnds = 2
-	heldEnds     = 3
-	// apartEnds is how many of them have to be while it ran apart from other
-	// suspects. Many copies of a harmless request that run at once may see
-	// several servers end together.
-	apartEnds = 1
-	// suspectTime forgets suspects that came again no more. Callers come back
-	// within their deadlines, of which the longest used are 15 s; a request that
-	// comes seldom and ends a server each time has to add up all the same.
-	suspectTime = 10 * time.Minute
-	// BlockedRetention forgets held requests, so that one is tried again at some time:
-	// servers with other software may well run it. One that still ends servers
-	// ends three more, an hour's share of which is little.
+	// serializeAfterCrashes is the number of crashed servers after which only one copy
+	// of a request may run at a time, and blockAfterCrashes the number after which the
+	// request is blocked: three crashes per request are acceptable to the users.
+	serializeAfterCrashes = 2
+	blockAfterCrashes     = 3
+	// minIsolatedCrashes is how many of these crashes must have happened while the
+	// request was isolated from other suspects. Without it a harmless request of
+	// which many copies run at once would be blocked when several servers crash
+	// together.
+	minIsolatedCrashes = 1
+	// suspectRetention is how long a suspect that causes no further crashes is kept.
+	// Callers retry within their deadlines, the longest of which is 15 s. It is far
+	// longer because the crashes of a rare request have to add up too.
+	suspectRetention = 10 * time.Minute
+	// BlockedRetention is how long a request stays blocked. It is tried again after
+	// that, since servers with other software may run it. If it still crashes
+	// servers it crashes three more, which is tolerable once an hour.
 	BlockedRetention = time.Hour
-	// most bounds the suspects, mostOfOne those of one workspace: some 200 bytes
-	// each. A server that ends makes some ten. The one that was heard of longest
-	// ago falls out first, held ones last, and of one workspace's its own.
-	most      = 1024
-	mostOfOne = 128
-	// mostEnds bounds what is kept of the servers that ended under a request.
-	mostEnds = 8
-	// verdictTime is how long a request waits for other hosts' word on a server
-	// that ended under it, if it isn't the first: a way to them, their look and a
-	// way back, on hosts with a fifth of a core (154 ms on a machine with five times
-	// the work that it has processors for). Without it one request ended five
-	// servers where the users allow four, and with proxies before the servers 0.11
-	// of the others' requests that may run once were lost (four hosts, twelve copies
-	// at once).
-	verdictTime = 300 * time.Millisecond
-	// ConfirmationPollInterval lies between two looks whether it is there.
+	// maxSuspects bounds the number of suspects, and maxSuspectsPerWorkspace the
+	// number of one workspace's. A suspect takes some 200 bytes, and a crash makes
+	// some ten suspects. The suspect whose record changed longest ago is evicted
+	// first, blocked ones last. A workspace at its bound evicts suspects of its own.
+	maxSuspects             = 1024
+	maxSuspectsPerWorkspace = 128
+	// maxCrashes bounds the number of crashes that a record holds.
+	maxCrashes = 8
+	// confirmationTimeout is how long a request waits for other hosts to confirm a
+	// crash, if it isn't the request's first. It covers the report to them, their
+	// probe and the reply on hosts with a fifth of a core: 154 ms on a host with
+	// five times as much work as it has processors for. Without this wait one request
+	// crashed five servers where four are acceptable to the users, and with proxies in
+	// front of the servers a fraction of 0.11 of the other requests that may run only
+	// once was lost (four hosts, twelve copies at once).
+	confirmationTimeout = 300 * time.Millisecond
+	// ConfirmationPollInterval is the interval at which a waiting request checks for
+	// the confirmation.
 	ConfirmationPollInterval = 5 * time.Millisecond
-	// maxName is the longest name of a workspace that others are believed.
-	maxName = 256
+	// maxWorkspaceBytes bounds the workspace name in a record of another host.
+	maxWorkspaceBytes = 256
 )
 
-// Stage is what becomes of a request.
+// Stage determines how a request is treated. Higher stages are more restrictive.
 type Stage int
 
-// String returns the stage as it stands in logs.
+// String returns the name of the stage in logs, metrics and replies to operators.
 func (s Stage) String() string {
 	return [...]string{Clear: "clear", Suspect: "suspect", Serialized: "doubtful", Blocked: "held"}[s]
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -9,49 +9,52 @@
 )
 
 type (
-	// Crash is a server that ended under a request.
+	// Crash is the crash of a server that was running a request.
 	Crash struct {
 		_ struct{} `cbor:",toarray"`
-		// Server is a digest of its ID, by [ServerOf].
+		// Server is the digest of the server's ID, see [ServerDigest].
 		Server uint32
-		// Reporter is the number of the host that found it closed: of several the least.
+		// Reporter is the number of the host that found the server's port closed, the
+		// lowest if there are several.
 		Reporter uint32 `json:"By"`
-		// Isolated says that no other suspect was known to run there.
+		// Isolated reports that no other suspect was known to run on the server.
 		Isolated bool `json:"Apart"`
-		// Confirmed says that there is more than one host's word for it.
+		// Confirmed reports that the crash has been confirmed by a second host or by
+		// the platform's server list.
 		Confirmed bool `json:"Proved"`
 	}
 
-	// Record is what is known of a suspect: an immutable value.
+	// Record holds the evidence against a suspect. It is an immutable value.
 	Record struct {
 		_           struct{}    `cbor:",toarray"`
 		HeadHash    HeadHash    `json:"Mark"`
 		Fingerprint Fingerprint `json:"Print"`
 		Workspace   string
-		Crashes     []Crash `json:"Ends"` // by server, each once
-		// Pardons counts how often it was cleared, by an answer or an operator.
-		// Ends that were known before the last time don't count.
+		Crashes     []Crash `json:"Ends"` // sorted by server, one per server
+		// Pardons counts how often the suspect was cleared, by an answer or by an
+		// operator. Clearing it discards all crashes recorded before.
 		Pardons uint32
 	}
 )
 
-// ServerDigest digests a server's ID.
+// ServerDigest returns the 32-bit FNV-1a hash of a server's ID.
 func ServerDigest(id string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
 	return h.Sum32()
 }
 
-// Stage returns what becomes of the request. What makes callers wait, or refuses
-// them, rests on ends that are proved: by one host's word alone, 6,544 of 7,326
-// harmless requests were refused while two halls lost each other with resets ten
-// times in six seconds, and two were held for an hour on a day of 72 hosts.
+// Stage returns the stage that follows from the record. The stages that delay or refuse
+// requests require confirmed crashes. When the observation of one host was enough,
+// 6,544 of 7,326 harmless requests were refused while two halls lost their connection
+// with resets ten times in six seconds, and two requests were blocked for an hour on a
+// day with 72 hosts.
 func (r Record) Stage() Stage {
-	proved := r.count(Crash.proved)
+	confirmed := r.count(Crash.confirmed)
 	switch n := len(r.Crashes); {
-	case proved >= heldEnds && r.count(Crash.blames) >= apartEnds:
+	case confirmed >= blockAfterCrashes && r.count(Crash.attributable) >= minIsolatedCrashes:
 		return Blocked
-	case n >= doubtfulEnds && proved > 0:
+	case n >= serializeAfterCrashes && confirmed > 0:
 		return Serialized
 	case n > 0:
 		return Suspect
@@ -59,26 +62,27 @@
 	return Clear
 }
 
-// HasUnconfirmed reports whether the record has an end that isn't proved.
-func (r Record) HasUnconfirmed() bool { return r.count(Crash.proved) < len(r.Crashes) }
+// HasUnconfirmed reports whether the record has a crash that isn't confirmed.
+func (r Record) HasUnconfirmed() bool { return r.count(Crash.confirmed) < len(r.Crashes) }
 
-// Validate reports what is wrong with a record that somebody else has made.
+// Validate returns an error if a record received from elsewhere is malformed.
 func (r Record) Validate() error {
 	switch {
 	case r.Fingerprint == Fingerprint{}:
-		return errors.New("a suspect without a print")
-	case len(r.Workspace) > maxName:
-		return errors.Newf("a suspect's workspace has a name of %d bytes", len(r.Workspace))
-	case len(r.Crashes) == 0 && r.Pardons == 0, len(r.Crashes) > mostEnds:
-		return errors.Newf("a suspect with %d servers", len(r.Crashes))
-	case !slices.IsSortedFunc(r.Crashes, byServer):
-		return errors.New("a suspect's servers are out of order")
+		return errors.New("suspect record without a fingerprint")
+	case len(r.Workspace) > maxWorkspaceBytes:
+		return errors.Newf("suspect record with a workspace name of %d bytes", len(r.Workspace))
+	case len(r.Crashes) == 0 && r.Pardons == 0, len(r.Crashes) > maxCrashes:
+		return errors.Newf("suspect record with %d crashes", len(r.Crashes))
+	case !slices.IsSortedFunc(r.Crashes, compareServers):
+		return errors.New("suspect record with crashes not sorted by server")
 	}
 	return nil
 }
 
-// with returns the record with what another one says of the same request.
-func (r Record) with(o Record) Record {
+// merged returns the record merged with another record of the same request. If their
+// pardon counts differ, the record with the higher count replaces the other.
+func (r Record) merged(o Record) Record {
 	switch {
 	case o.Pardons > r.Pardons:
 		r.Pardons, r.Crashes = o.Pardons, nil
@@ -86,24 +90,24 @@
 		return r
 	}
 	all := slices.Clone(r.Crashes)
-	for _, e := range o.Crashes {
-		i, known := slices.BinarySearchFunc(all, e, byServer)
+	for _, c := range o.Crashes {
+		i, found := slices.BinarySearchFunc(all, c, compareServers)
 		switch {
-		case known:
-			all[i] = all[i].with(e)
-		case len(all) < mostEnds:
-			all = slices.Insert(all, i, e)
+		case found:
+			all[i] = all[i].merged(c)
+		case len(all) < maxCrashes:
+			all = slices.Insert(all, i, c)
 		}
 	}
 	r.Crashes = all
 	return r
 }
 
-// withProved returns the record with the end of a server proved, and whether that
-// is new.
-func (r Record) withProved(server uint32) (Record, bool) {
-	i, known := slices.BinarySearchFunc(r.Crashes, Crash{Server: server}, byServer)
-	if !known || r.Crashes[i].Confirmed {
+// withConfirmed returns the record with the crash of a server confirmed, and whether
+// this changes the record.
+func (r Record) withConfirmed(server uint32) (Record, bool) {
+	i, found := slices.BinarySearchFunc(r.Crashes, Crash{Server: server}, compareServers)
+	if !found || r.Crashes[i].Confirmed {
 		return r, false
 	}
 	r.Crashes = slices.Clone(r.Crashes)
@@ -111,29 +115,29 @@
 	return r, true
 }
 
-// count counts the ends of a kind.
-func (r Record) count(of func(Crash) bool) int {
+// count returns the number of crashes that match a predicate.
+func (r Record) count(match func(Crash) bool) int {
 	n := 0
-	for _, e := range r.Crashes {
-		if of(e) {
+	for _, c := range r.Crashes {
+		if match(c) {
 			n++
 		}
 	}
 	return n
 }
 
-// with returns the end with what another host says of it.
-func (e Crash) with(o Crash) Crash {
-	e.Reporter = min(e.Reporter, o.Reporter)
-	e.Isolated = e.Isolated || o.Isolated
-	e.Confirmed = e.Confirmed || o.Confirmed
-	return e
+// merged returns the crash merged with another host's report of the same crash.
+func (c Crash) merged(o Crash) Crash {
+	c.Reporter = min(c.Reporter, o.Reporter)
+	c.Isolated = c.Isolated || o.Isolated
+	c.Confirmed = c.Confirmed || o.Confirmed
+	return c
 }
 
-func (e Crash) proved() bool { return e.Confirmed }
+func (c Crash) confirmed() bool { return c.Confirmed }
 
-// blames reports whether the end says more of this request than of others that
-// ran there.
-func (e Crash) blames() bool { return e.Confirmed && e.Isolated }
+// attributable reports whether the crash is evidence against this request rather than
+// against others that were running on the server.
+func (c Crash) attributable() bool { return c.Confirmed && c.Isolated }
 
-func byServer(x, y Crash) int { return cmp.Compare(x.Server, y.Server) }
+func compareServers(x, y Crash) int { return cmp.Compare(x.Server, y.Server) }
--- a/core/quarantine/roster.go
+++ b/core/quarantine/roster.go
@@ -5,89 +5,92 @@
 	"time"
 )
 
-// What the platform's list says of a server.
+// States of a server according to the platform's server list.
 const (
-	// Inconclusive is all that proves nothing.
+	// Inconclusive means that the list proves neither that the server runs nor that
+	// it has terminated.
 	Inconclusive Listing = iota
-	// Listed servers live.
+	// Listed servers are running.
 	Listed
-	// Terminated are the starts of servers that are proved to have ended.
+	// Terminated servers have certainly terminated.
 	Terminated
 )
 
 const (
-	// listedTime is how long after its end a server may still be on the
-	// platform's list, which it leaves after three heartbeats of 1.2 s, and again
-	// how much longer it has to be there to count as living: after an outage of the
-	// platform entries that lapsed are kept for 2.2 s.
-	listedTime = 6 * time.Second
-	// goneTime is how long a server has to be off the list: in one heartbeat of
-	// 1.2 s all servers of a hall that was cut off leave it.
-	goneTime = 1200 * time.Millisecond
-	// cutTime is within what time others of its hall have left the list with it.
-	cutTime = 10 * time.Second
-	// rosterTime is for how long servers are remembered that have left the list.
-	rosterTime = time.Minute
+	// maxListLag is how long a server may stay on the platform's list after its crash:
+	// the list drops it after three heartbeats of 1.2 s, and after an outage of the
+	// platform it keeps expired entries for 2.2 s. A server counts as running if it is
+	// found on the list after this time and again after the same time once more.
+	maxListLag = 6 * time.Second
+	// minAbsence is how long a server has to be missing from the list. The servers of
+	// a hall that is cut off all disappear within one heartbeat of 1.2 s.
+	minAbsence = 1200 * time.Millisecond
+	// hallLossWindow is the period over which servers missing from the same hall are
+	// counted together.
+	hallLossWindow = 10 * time.Second
+	// delistedRetention is how long a server is remembered after it has left the list.
+	delistedRetention = time.Minute
 )
 
 type (
-	// Listing is what the platform's list says of a server.
+	// Listing is the state of a server according to the platform's server list.
 	Listing int
 
-	// Instance is a start of a server as the list has it.
+	// Instance is one incarnation of a server on the list.
 	Instance struct {
-		// ID names the start, Name the server in all its starts.
+		// ID identifies the incarnation, Name the server across restarts.
 		ID, Name string
 		Hall     string
 	}
 
-	// Roster remembers which servers the platform's list had. One goroutine owns it.
+	// Roster tracks which servers are or were on the platform's server list. It is not
+	// safe for concurrent use.
 	Roster struct {
-		starts map[uint32]*entry
+		entries map[uint32]*entry // by ServerDigest
 	}
 
 	entry struct {
-		start    Instance
-		listed   bool
-		replaced bool
-		left     time.Duration // when the list had it no more
+		instance   Instance
+		listed     bool
+		replaced   bool          // a later instance of the same server is listed
+		delistedAt time.Duration // when the instance left the list
 	}
 )
 
 // NewRoster returns an empty roster.
-func NewRoster() *Roster { return &Roster{starts: map[uint32]*entry{}} }
+func NewRoster() *Roster { return &Roster{entries: map[uint32]*entry{}} }
 
-// Update takes in a list that is current. It is called for each change, and now and
-// then, since it forgets too.
+// Update applies a current list. It has to be called for each change of the list, and
+// also regularly without changes, since it removes outdated entries too.
 func (r *Roster) Update(list []Instance, now time.Duration) {
-	names := make(map[string]string, len(list))
+	ids := make(map[string]string, len(list)) // by name
 	for _, s := range list {
-		names[s.Name] = s.ID
-		e := r.starts[ServerDigest(s.ID)]
+		ids[s.Name] = s.ID
+		e := r.entries[ServerDigest(s.ID)]
 		if e == nil {
-			e = &entry{start: s}
-			r.starts[ServerDigest(s.ID)] = e
+			e = &entry{instance: s}
+			r.entries[ServerDigest(s.ID)] = e
 		}
 		e.listed, e.replaced = true, false
 	}
-	for server, e := range r.starts {
-		id, named := names[e.start.Name]
-		if id == e.start.ID {
+	for server, e := range r.entries {
+		id, found := ids[e.instance.Name]
+		if id == e.instance.ID {
 			continue
 		}
 		if e.listed {
-			e.listed, e.left = false, now
+			e.listed, e.delistedAt = false, now
 		}
-		e.replaced = named
-		if now-e.left > rosterTime {
-			delete(r.starts, server)
+		e.replaced = found
+		if now-e.delistedAt > delistedRetention {
+			delete(r.entries, server)
 		}
 	}
 }
 
-// Listing returns what the list says of a server.
+// Listing returns the state of a server, given by its digest, according to the list.
 func (r *Roster) Listing(server uint32, now time.Duration) Listing {
-	e := r.starts[server]
+	e := r.entries[server]
 	switch {
 	case e == nil:
 		return Inconclusive
@@ -95,80 +98,85 @@
 		return Listed
 	case e.replaced:
 		return Terminated
-	case now-e.left < goneTime || !r.stands(e.start.Hall, now):
+	case now-e.delistedAt < minAbsence || !r.hallReachable(e.instance.Hall, now):
 		return Inconclusive
 	}
 	return Terminated
 }
 
-// stands reports whether a hall has lost no more servers than it has.
-func (r *Roster) stands(hall string, now time.Duration) bool {
+// hallReachable reports whether at least as many servers of a hall are listed as have
+// left the list within hallLossWindow without being replaced. Otherwise the hall may
+// be cut off from the platform.
+func (r *Roster) hallReachable(hall string, now time.Duration) bool {
 	listed, lost := 0, 0
-	for _, e := range r.starts {
+	for _, e := range r.entries {
 		switch {
-		case e.start.Hall != hall:
+		case e.instance.Hall != hall:
 		case e.listed:
 			listed++
-		case !e.replaced && now-e.left < cutTime:
+		case !e.replaced && now-e.delistedAt < hallLossWindow:
 			lost++
 		}
 	}
 	return listed >= lost
 }
 
-// Reconcile compares ends with the platform's list, and is called again and again while
-// that is current. Ends that the list proves are proved. Ends of servers that stay
-// on it long after are dropped: these have not ended. Whoever forges news can't
-// take servers off the list. It returns the changes.
-func (b *Registry) Reconcile(says func(server uint32) Listing, now time.Duration) []Change {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Reconcile compares the recorded crashes with the platform's server list, where
+// listing returns the state of a server given by its digest. It has to be called
+// regularly while the list is current. Crashes of terminated servers are confirmed.
+// Crashes of servers that stay on the list for long are dropped, since these servers
+// have not crashed; a forged record thus loses its effect, as its sender can't remove
+// servers from the list. Reconcile returns the resulting changes.
+func (reg *Registry) Reconcile(listing func(server uint32) Listing, now time.Duration) []Change {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	var changes []Change
-	for _, s := range b.suspects {
-		changes = append(changes, b.prove(s, says, now)...)
-		changes = append(changes, b.disbelieve(s, says, now)...)
+	for _, s := range reg.suspects {
+		changes = append(changes, reg.confirmTerminated(s, listing, now)...)
+		changes = append(changes, reg.dropRefuted(s, listing, now)...)
 	}
 	return changes
 }
 
-// prove proves the ends of a suspect that the list proves.
-func (b *Registry) prove(s *suspect, says func(server uint32) Listing, now time.Duration) []Change {
+// confirmTerminated confirms the crashes of servers that have terminated according to
+// the list.
+func (reg *Registry) confirmTerminated(s *suspect, listing func(server uint32) Listing, now time.Duration) []Change {
 	r := s.record
-	for _, e := range s.record.Crashes {
-		if !e.Confirmed && says(e.Server) == Terminated {
-			r, _ = r.withProved(e.Server)
+	for _, c := range s.record.Crashes {
+		if !c.Confirmed && listing(c.Server) == Terminated {
+			r, _ = r.withConfirmed(c.Server)
 		}
 	}
 	if slices.Equal(r.Crashes, s.record.Crashes) {
 		return nil
 	}
-	return b.update(s, r, false, now) // others read the list too
+	return reg.update(s, r, false, now) // not own evidence: other hosts read the same list
 }
 
-// disbelieve drops ends of a suspect that the list belies.
-func (b *Registry) disbelieve(s *suspect, says func(server uint32) Listing, now time.Duration) []Change {
-	if s.checked || now-s.latest < listedTime {
+// dropRefuted drops the crashes of servers that still run according to the list.
+func (reg *Registry) dropRefuted(s *suspect, listing func(server uint32) Listing, now time.Duration) []Change {
+	if s.reconciled || now-s.changed < maxListLag {
 		return nil
 	}
-	listed := func(e Crash) bool { return says(e.Server) == Listed }
+	listed := func(c Crash) bool { return listing(c.Server) == Listed }
 	if !slices.ContainsFunc(s.record.Crashes, listed) {
-		s.checked = true
+		s.reconciled = true
 		return nil
 	}
-	if s.listed == 0 {
-		s.listed = now
+	if s.listedSince == 0 {
+		s.listedSince = now
 	}
-	if now-s.listed < listedTime {
+	if now-s.listedSince < maxListLag {
 		return nil
 	}
-	s.checked = true
+	s.reconciled = true
 	before := s.record.Stage()
 	s.record.Crashes = slices.DeleteFunc(slices.Clone(s.record.Crashes), listed)
-	s.blamed = s.blamed[:min(len(s.blamed), s.record.count(Crash.blames))]
-	b.reckon(s.record.Workspace)
+	s.attributedAt = s.attributedAt[:min(len(s.attributedAt), s.record.count(Crash.attributable))]
+	reg.updateHistory(s.record.Workspace)
 	switch after := s.record.Stage(); {
 	case len(s.record.Crashes) == 0:
-		return []Change{b.drop(s)}
+		return []Change{reg.remove(s)}
 	case after != before:
 		return []Change{{Record: s.record, Stage: after}}
 	}
--- a/core/quarantine/witness.go
+++ b/core/quarantine/witness.go
@@ -8,49 +8,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mostWitnesses is how many hosts look at a server that another one has found
-// closed: should one of them be gone or slow, the other one tells.
-const mostWitnesses = 2
+// maxWitnesses is the number of hosts that probe a server which another host has found
+// closed. There are two so that one of them may be down or slow.
+const maxWitnesses = 2
 
-// Host is a host that may look at a server.
+// Host is a host that may probe servers.
 type Host struct {
 	Number uint32
 	Hall   string
 }
 
-// Witnesses returns the numbers of the hosts that are to look at a server of a
-// hall which the host by has found closed: others of its hall, which reach it
-// whatever is cut off from the hall. If by is the only one there, any other host
-// is one. Nobody in the hall leaves the matter to the platform's list. All hosts
-// that know the same others return the same.
-func Witnesses(server uint32, hall string, by uint32, hosts []Host) []uint32 {
-	var near, far []Host
-	finderNear := false
+// Witnesses returns the numbers of the hosts that have to probe a server in a hall
+// after the host reporter has found it closed. These are other hosts of the same hall,
+// which reach the server even if the hall is cut off from the rest. If reporter is the
+// only host of the hall, they are chosen from all other hosts. If the hall has no hosts,
+// there are no witnesses, and only the platform's server list can confirm the crash.
+// The result is the same on all hosts that know the same set of hosts.
+func Witnesses(server uint32, hall string, reporter uint32, hosts []Host) []uint32 {
+	var local, remote []Host
+	reporterLocal := false
 	for _, h := range hosts {
 		switch {
-		case h.Number == by:
-			finderNear = h.Hall == hall
+		case h.Number == reporter:
+			reporterLocal = h.Hall == hall
 		case h.Hall == hall:
-			near = append(near, h)
+			local = append(local, h)
 		default:
-			far = append(far, h)
+			remote = append(remote, h)
 		}
 	}
-	if len(near) == 0 && finderNear {
-		near = far
+	if len(local) == 0 && reporterLocal {
+		local = remote
 	}
-	slices.SortFunc(near, func(x, y Host) int {
-		return cmp.Or(cmp.Compare(rank(server, x), rank(server, y)), cmp.Compare(x.Number, y.Number))
+	slices.SortFunc(local, func(x, y Host) int {
+		return cmp.Or(cmp.Compare(hashRank(server, x), hashRank(server, y)), cmp.Compare(x.Number, y.Number))
 	})
 	var out []uint32
-	for _, h := range near[:min(mostWitnesses, len(near))] {
+	for _, h := range local[:min(maxWitnesses, len(local))] {
 		out = append(out, h.Number)
 	}
 	return out
 }
 
-// rank orders hosts for a server, another way for each.
-func rank(server uint32, h Host) uint64 {
+// hashRank returns the rank of a host among the candidates for a server, by rendezvous
+// hashing: each server orders the hosts differently, which spreads the probes.
+func hashRank(server uint32, h Host) uint64 {
 	var b [8]byte
 	binary.BigEndian.PutUint32(b[:4], server)
 	binary.BigEndian.PutUint32(b[4:], h.Number)
