--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -60,13 +60,13 @@
 	Limit struct {
 		// Version orders what is known of one start of a server.
 		Version uint64
-		// Named reports whether there is a limit, and Rate is it.
-		Named bool
-		Rate  float64
+		// Limited reports whether there is a limit, and Rate is it.
+		Limited bool
+		Rate    float64
 	}
 
-	// Book is what servers have said. It is safe for use by many goroutines.
-	Book struct {
+	// Registry is what servers have said. It is safe for use by many goroutines.
+	Registry struct {
 		mu      sync.Mutex
 		servers map[string]*said // by ID of their start
 	}
@@ -84,12 +84,12 @@
 	}
 )
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{servers: map[string]*said{}} }
+// NewRegistry returns an empty book.
+func NewRegistry() *Registry { return &Registry{servers: map[string]*said{}} }
 
-// ReadLimit reads a limit as a server names it: a decimal number of requests a
+// ParseLimit reads a limit as a server names it: a decimal number of requests a
 // second, 0 or more. Without a text it names none.
-func ReadLimit(text string) (Limit, error) {
+func ParseLimit(text string) (Limit, error) {
 	if text == "" {
 		return Limit{}, nil
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return Limit{}, errors.Wrapf(err, "limit %q is no number of requests a second", text)
 	}
-	l := Limit{Named: true, Rate: r}
+	l := Limit{Limited: true, Rate: r}
 	if err := l.Validate(); err != nil {
 		return Limit{}, err
 	}
@@ -112,18 +112,18 @@
 	return nil
 }
 
-// Answered takes in the limit that an answer names to a request that left at the time
+// UpdateLimit takes in the limit that an answer names to a request that left at the time
 // sent. It returns what holds now, and whether that has changed.
-func (b *Book) Answered(server string, l Limit, sent, now time.Duration) (Limit, bool) {
+func (b *Registry) UpdateLimit(server string, l Limit, sent, now time.Duration) (Limit, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[server]
-	if s == nil && !l.Named {
+	if s == nil && !l.Limited {
 		return Limit{}, false
 	}
 	s = b.of(server, now)
 	switch {
-	case s.limit.Named == l.Named && s.limit.Rate == l.Rate:
+	case s.limit.Limited == l.Limited && s.limit.Rate == l.Rate:
 		return s.limit, false
 	case !l.tighter(s.limit) && sent <= s.since:
 		return s.limit, false
@@ -133,8 +133,8 @@
 	return l, true
 }
 
-// ReadLeaving reads whether a server says that it leaves.
-func ReadLeaving(text string) (bool, error) {
+// ParseLeaving reads whether a server says that it leaves.
+func ParseLeaving(text string) (bool, error) {
 	if text == "" {
 		return false, nil
 	}
@@ -142,8 +142,8 @@
 	return leaves, errors.Wrapf(err, "%q doesn't say whether the server leaves", text)
 }
 
-// ReadRest reads for how many seconds a server wants rest. Without a text it wants none.
-func ReadRest(text string) (time.Duration, error) {
+// ParseBackoff reads for how many seconds a server wants rest. Without a text it wants none.
+func ParseBackoff(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -157,17 +157,17 @@
 	return time.Duration(s * float64(time.Second)), nil
 }
 
-// Rests takes in that a server wants nothing from this host until a time. No answer that
+// ExtendBackoff takes in that a server wants nothing from this host until a time. No answer that
 // says something else ends that earlier.
-func (b *Book) Rests(server string, until, now time.Duration) {
+func (b *Registry) ExtendBackoff(server string, until, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.of(server, now)
 	s.rest = max(s.rest, until)
 }
 
-// Resting is for how long a server wants nothing from this host; 0 if it takes requests.
-func (b *Book) Resting(server string, now time.Duration) time.Duration {
+// Backoff is for how long a server wants nothing from this host; 0 if it takes requests.
+func (b *Registry) Backoff(server string, now time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[server]
@@ -177,9 +177,9 @@
 	return max(s.rest-now, 0)
 }
 
-// Leaves takes in that a server has said to this host that it leaves, and reports
+// SetLeaving takes in that a server has said to this host that it leaves, and reports
 // whether that is new. It stands until this start of the server has ended.
-func (b *Book) Leaves(server string, now time.Duration) bool {
+func (b *Registry) SetLeaving(server string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.of(server, now)
@@ -188,10 +188,10 @@
 	return first
 }
 
-// HearLeaves takes in that a server has said so to another host. Nobody vouches for
+// SetReportedLeaving takes in that a server has said so to another host. Nobody vouches for
 // that word, so it holds for a while, and not where all servers of a service are said to
 // leave: then this host asks them itself. It reports whether it didn't hold before.
-func (b *Book) HearLeaves(server string, now time.Duration) bool {
+func (b *Registry) SetReportedLeaving(server string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.of(server, now)
@@ -201,16 +201,16 @@
 }
 
 // Leaving reports whether a server has said to this host that it leaves.
-func (b *Book) Leaving(server string) bool {
+func (b *Registry) Leaving(server string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[server]
 	return s != nil && s.leaving
 }
 
-// Hear takes in what another host knows of a server, and reports whether that
+// MergeLimit takes in what another host knows of a server, and reports whether that
 // changed what is known here.
-func (b *Book) Hear(server string, l Limit, now time.Duration) bool {
+func (b *Registry) MergeLimit(server string, l Limit, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[server]
@@ -228,18 +228,18 @@
 // set brings a limit into force. What is granted of it is not known yet.
 func (s *said) set(l Limit, now time.Duration) { s.limit, s.since, s.closed = l, now, 0 }
 
-// Close notes that a limited server takes nothing more until a time.
-func (b *Book) Close(server string, until time.Duration) {
+// CloseUntil notes that a limited server takes nothing more until a time.
+func (b *Registry) CloseUntil(server string, until time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s := b.servers[server]; s != nil && s.limit.Named {
+	if s := b.servers[server]; s != nil && s.limit.Limited {
 		s.closed = max(s.closed, until)
 	}
 }
 
-// Open returns those of some servers that may get a request now. Where there is none
+// Available returns those of some servers that may get a request now. Where there is none
 // since all are closed, it tells how long it takes until one isn't.
-func (b *Book) Open(servers []backend.Server, now time.Duration) ([]backend.Server, time.Duration) {
+func (b *Registry) Available(servers []backend.Server, now time.Duration) ([]backend.Server, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.ContainsFunc(servers, func(s backend.Server) bool { return b.spared(s.ID, now) }) {
@@ -268,7 +268,7 @@
 
 // spared reports whether a server had better get no request now, by what it has said to
 // this host or another.
-func (b *Book) spared(server string, now time.Duration) bool {
+func (b *Registry) spared(server string, now time.Duration) bool {
 	s := b.servers[server]
 	return s != nil && (!s.open(now) || now < s.doubted)
 }
@@ -279,13 +279,13 @@
 // until is when a server that doesn't leave may get a request.
 func (s *said) until() time.Duration { return max(s.closed, s.rest) }
 
-// Limited returns those of some servers that name a limit, by ID; nil for none.
-func (b *Book) Limited(servers []backend.Server) map[string]bool {
+// LimitedServers returns those of some servers that name a limit, by ID; nil for none.
+func (b *Registry) LimitedServers(servers []backend.Server) map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var limited map[string]bool
 	for _, server := range servers {
-		if s := b.servers[server.ID]; s == nil || !s.limit.Named {
+		if s := b.servers[server.ID]; s == nil || !s.limit.Limited {
 			continue
 		}
 		if limited == nil {
@@ -297,7 +297,7 @@
 }
 
 // Limit returns what is known of a server.
-func (b *Book) Limit(server string) Limit {
+func (b *Registry) Limit(server string) Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[server]; s != nil {
@@ -306,9 +306,9 @@
 	return Limit{}
 }
 
-// Unreadable notes that an answer of a server can't be read, and reports whether
+// SetUnreadable notes that an answer of a server can't be read, and reports whether
 // that is the first one.
-func (b *Book) Unreadable(server string, now time.Duration) bool {
+func (b *Registry) SetUnreadable(server string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.of(server, now)
@@ -317,8 +317,8 @@
 	return first
 }
 
-// Forget drops what servers have said that are not listed any more.
-func (b *Book) Forget(listed func(server string) bool, now time.Duration) {
+// Prune drops what servers have said that are not listed any more.
+func (b *Registry) Prune(listed func(server string) bool, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, s := range b.servers {
@@ -333,7 +333,7 @@
 
 // of returns what is known of a server. A new one takes the place of the one that was
 // listed longest ago, if there are too many.
-func (b *Book) of(server string, now time.Duration) *said {
+func (b *Registry) of(server string, now time.Duration) *said {
 	if s := b.servers[server]; s != nil {
 		return s
 	}
@@ -353,7 +353,7 @@
 
 // tighter reports whether a limit lets fewer requests through than another.
 func (l Limit) tighter(other Limit) bool {
-	return l.Named && (!other.Named || l.Rate < other.Rate)
+	return l.Limited && (!other.Limited || l.Rate < other.Rate)
 }
 
 // newer reports whether a limit takes the place of another one.
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -15,16 +15,16 @@
 		bad  bool
 	}{
 		"none":             {"", Limit{}, false},
-		"whole":            {"3", Limit{Named: true, Rate: 3}, false},
-		"fraction":         {"1.7", Limit{Named: true, Rate: 1.7}, false},
-		"zero":             {"0", Limit{Named: true}, false},
+		"whole":            {"3", Limit{Limited: true, Rate: 3}, false},
+		"fraction":         {"1.7", Limit{Limited: true, Rate: 1.7}, false},
+		"zero":             {"0", Limit{Limited: true}, false},
 		"negative":         {"-1", Limit{}, true},
 		"not a number":     {"NaN", Limit{}, true},
 		"infinite":         {"Inf", Limit{}, true},
 		"beyond all range": {"1e999", Limit{}, true},
 		"text":             {"soon", Limit{}, true},
 	} {
-		got, err := ReadLimit(tc.text)
+		got, err := ParseLimit(tc.text)
 		if got != tc.want || (err != nil) != tc.bad {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
@@ -37,7 +37,7 @@
 		limit     Limit
 		sent, now time.Duration
 	}
-	one, two := Limit{Named: true, Rate: 1}, Limit{Named: true, Rate: 2}
+	one, two := Limit{Limited: true, Rate: 1}, Limit{Limited: true, Rate: 2}
 	for name, tc := range map[string]struct {
 		answers []answer
 		want    Limit
@@ -52,9 +52,9 @@
 		"a later answer raises it":         {[]answer{{one, 1, 2}, {two, 3, 4}}, Limit{2, true, 2}},
 		"named again after its end":        {[]answer{{one, 1, 2}, {Limit{}, 3, 4}, {one, 3, 5}}, Limit{3, true, 1}},
 	} {
-		b := NewBook()
+		b := NewRegistry()
 		for _, a := range tc.answers {
-			b.Answered("i-1", a.limit, a.sent, a.now)
+			b.UpdateLimit("i-1", a.limit, a.sent, a.now)
 		}
 		if got := b.Limit("i-1"); got != tc.want {
 			t.Errorf("%s: %+v, want %+v", name, got, tc.want)
@@ -75,9 +75,9 @@
 		"of equals the lower":    {[]Limit{named, lower}, lower},
 		"and so the other way":   {[]Limit{lower, named}, lower},
 	} {
-		b := NewBook()
+		b := NewRegistry()
 		for _, l := range tc.told {
-			b.Hear("i-1", l, 1)
+			b.MergeLimit("i-1", l, 1)
 		}
 		if got := b.Limit("i-1"); got != tc.want {
 			t.Errorf("%s: %+v, want %+v", name, got, tc.want)
@@ -99,7 +99,7 @@
 		"too long": {"1e12", 0, true},
 		"a date":   {"Thu, 03 Dec 2026 09:00:00 GMT", 0, true},
 	} {
-		got, err := ReadRest(tc.text)
+		got, err := ParseBackoff(tc.text)
 		if got != tc.want || (err != nil) != tc.bad {
 			t.Errorf("%s: %v, %v", name, got, err)
 		}
@@ -107,16 +107,16 @@
 }
 
 func TestForget(t *testing.T) {
-	b := NewBook()
-	b.Answered("listed", Limit{Named: true, Rate: 1}, 0, 0)
-	b.Answered("gone", Limit{Named: true, Rate: 1}, 0, 0)
+	b := NewRegistry()
+	b.UpdateLimit("listed", Limit{Limited: true, Rate: 1}, 0, 0)
+	b.UpdateLimit("gone", Limit{Limited: true, Rate: 1}, 0, 0)
 	listed := func(id string) bool { return id == "listed" }
-	b.Forget(listed, keepTime)
-	if !b.Limit("gone").Named {
+	b.Prune(listed, keepTime)
+	if !b.Limit("gone").Limited {
 		t.Error("forgotten while its entry may come back")
 	}
-	b.Forget(listed, 2*keepTime+1)
-	if b.Limit("gone").Named || !b.Limit("listed").Named {
+	b.Prune(listed, 2*keepTime+1)
+	if b.Limit("gone").Limited || !b.Limit("listed").Limited {
 		t.Error("the wrong one was forgotten")
 	}
 }
@@ -125,64 +125,64 @@
 func TestOpen(t *testing.T) {
 	const now = time.Minute
 	servers := []backend.Server{{ID: "i-1"}, {ID: "i-2"}}
-	limit := Limit{Named: true, Rate: 1}
+	limit := Limit{Limited: true, Rate: 1}
 	for name, tc := range map[string]struct {
-		said func(b *Book)
+		said func(b *Registry)
 		want []string
 		wait time.Duration
 	}{
-		"nothing": {func(*Book) {}, []string{"i-1", "i-2"}, 0},
-		"one leaves": {func(b *Book) {
-			b.Leaves("i-1", now)
-			b.Answered("i-1", limit, now, now)
+		"nothing": {func(*Registry) {}, []string{"i-1", "i-2"}, 0},
+		"one leaves": {func(b *Registry) {
+			b.SetLeaving("i-1", now)
+			b.UpdateLimit("i-1", limit, now, now)
 		}, []string{"i-2"}, 0},
-		"both leave": {func(b *Book) {
-			b.Leaves("i-1", now)
-			b.Leaves("i-2", now)
+		"both leave": {func(b *Registry) {
+			b.SetLeaving("i-1", now)
+			b.SetLeaving("i-2", now)
 		}, nil, 0},
-		"one leaves, by another's word": {func(b *Book) { b.HearLeaves("i-1", now) }, []string{"i-2"}, 0},
-		"both leave, by another's word": {func(b *Book) {
-			b.HearLeaves("i-1", now)
-			b.HearLeaves("i-2", now)
+		"one leaves, by another's word": {func(b *Registry) { b.SetReportedLeaving("i-1", now) }, []string{"i-2"}, 0},
+		"both leave, by another's word": {func(b *Registry) {
+			b.SetReportedLeaving("i-1", now)
+			b.SetReportedLeaving("i-2", now)
 		}, []string{"i-1", "i-2"}, 0},
-		"one leaves, the other is said to": {func(b *Book) {
-			b.Leaves("i-1", now)
-			b.HearLeaves("i-2", now)
+		"one leaves, the other is said to": {func(b *Registry) {
+			b.SetLeaving("i-1", now)
+			b.SetReportedLeaving("i-2", now)
 		}, []string{"i-2"}, 0},
-		"one has all its requests": {func(b *Book) {
-			b.Answered("i-1", limit, 0, now)
-			b.Close("i-1", now+3*time.Second)
+		"one has all its requests": {func(b *Registry) {
+			b.UpdateLimit("i-1", limit, 0, now)
+			b.CloseUntil("i-1", now+3*time.Second)
 		}, []string{"i-2"}, 0},
-		"both have": {func(b *Book) {
+		"both have": {func(b *Registry) {
 			for n, s := range servers {
-				b.Answered(s.ID, limit, 0, now)
-				b.Close(s.ID, now+time.Duration(n+3)*time.Second)
+				b.UpdateLimit(s.ID, limit, 0, now)
+				b.CloseUntil(s.ID, now+time.Duration(n+3)*time.Second)
 			}
 		}, nil, 2 * time.Second},
-		"one rests": {func(b *Book) { b.Rests("i-1", now+3*time.Second, now) }, []string{"i-2"}, 0},
-		"a shorter rest doesn't end it": {func(b *Book) {
-			b.Rests("i-1", now+3*time.Second, now)
-			b.Rests("i-1", now+time.Millisecond, now)
+		"one rests": {func(b *Registry) { b.ExtendBackoff("i-1", now+3*time.Second, now) }, []string{"i-2"}, 0},
+		"a shorter rest doesn't end it": {func(b *Registry) {
+			b.ExtendBackoff("i-1", now+3*time.Second, now)
+			b.ExtendBackoff("i-1", now+time.Millisecond, now)
 		}, []string{"i-2"}, 0},
-		"nor does an answer without": {func(b *Book) {
-			b.Rests("i-1", now+3*time.Second, now)
-			b.Answered("i-1", Limit{}, now+1, now+1)
+		"nor does an answer without": {func(b *Registry) {
+			b.ExtendBackoff("i-1", now+3*time.Second, now)
+			b.UpdateLimit("i-1", Limit{}, now+1, now+1)
 		}, []string{"i-2"}, 0},
-		"one has rested": {func(b *Book) { b.Rests("i-1", now+time.Second, now) }, []string{"i-1", "i-2"}, 0},
-		"one rests, the other has all its requests": {func(b *Book) {
-			b.Rests("i-1", now+3*time.Second, now)
-			b.Answered("i-2", limit, 0, now)
-			b.Close("i-2", now+5*time.Second)
+		"one has rested": {func(b *Registry) { b.ExtendBackoff("i-1", now+time.Second, now) }, []string{"i-1", "i-2"}, 0},
+		"one rests, the other has all its requests": {func(b *Registry) {
+			b.ExtendBackoff("i-1", now+3*time.Second, now)
+			b.UpdateLimit("i-2", limit, 0, now)
+			b.CloseUntil("i-2", now+5*time.Second)
 		}, nil, 2 * time.Second},
-		"one had, until its limit ended": {func(b *Book) {
-			b.Answered("i-1", limit, 0, now)
-			b.Close("i-1", now+time.Hour)
-			b.Answered("i-1", Limit{}, now+1, now+1)
+		"one had, until its limit ended": {func(b *Registry) {
+			b.UpdateLimit("i-1", limit, 0, now)
+			b.CloseUntil("i-1", now+time.Hour)
+			b.UpdateLimit("i-1", Limit{}, now+1, now+1)
 		}, []string{"i-1", "i-2"}, 0},
 	} {
-		b := NewBook()
+		b := NewRegistry()
 		tc.said(b)
-		open, wait := b.Open(servers, now+time.Second)
+		open, wait := b.Available(servers, now+time.Second)
 		var got []string
 		for _, s := range open {
 			got = append(got, s.ID)
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -87,7 +87,7 @@
 		// quarantine is what is known of requests under which servers ended.
 		quarantine *quarantine.Registry
 		// notices are what servers have said of themselves.
-		notices *notice.Book
+		notices *notice.Registry
 		// grants hands out the requests that limited servers take from all hosts.
 		grants *grants.Keeper
 		// changed wakes who stores suspects, and known who routes news, since other hosts
@@ -119,7 +119,7 @@
 		clock:    boottime.New(),
 
 		quarantine: quarantine.NewRegistry(),
-		notices:    notice.NewBook(),
+		notices:    notice.NewRegistry(),
 		changed:    make(chan struct{}, 1),
 		known:      make(chan struct{}, 1),
 	}
--- a/daemon/entry/notices.go
+++ b/daemon/entry/notices.go
@@ -58,7 +58,7 @@
 	if !known {
 		return true, 0
 	}
-	if rest := e.notices.Resting(s.ID, e.clock.Now()); rest > 0 {
+	if rest := e.notices.Backoff(s.ID, e.clock.Now()); rest > 0 {
 		return false, rest
 	}
 	return e.grants.Take(ctx, s)
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -85,7 +85,7 @@
 		shares         *shares
 		exchanges      *exchanges
 		quarantine     *quarantine.Registry
-		notices        *notice.Book
+		notices        *notice.Registry
 		roster         *quarantine.Roster // upkeep's, of the servers listed
 		listed         *backend.View
 		looks          *looks
@@ -139,7 +139,7 @@
 }
 
 // WithNotices sets what servers have said of themselves, and who tells others.
-func WithNotices(b *notice.Book, t Tell) Option {
+func WithNotices(b *notice.Registry, t Tell) Option {
 	return func(g *Gateway) { g.notices, g.tell = b, t }
 }
 
@@ -174,7 +174,7 @@
 
 		exchanges:  newExchanges(),
 		quarantine: quarantine.NewRegistry(),
-		notices:    notice.NewBook(),
+		notices:    notice.NewRegistry(),
 		roster:     quarantine.NewRoster(),
 		looks:      newLooks(),
 		hosts:      func() []quarantine.Host { return nil },
@@ -326,7 +326,7 @@
 		mark = uint64(quarantine.WorkspaceHash(c.workspace.Name))
 	}
 	ready := s.ready(service.Name)
-	open, _ := g.notices.Open(ready, g.clock.Now())
+	open, _ := g.notices.Available(ready, g.clock.Now())
 	p, ok := g.board.Place(g.clock.Now(), service, open, schedule.Request{
 		Work:      c.work,
 		Objective: c.route.Objective - time.Since(c.arrived),
@@ -334,7 +334,7 @@
 		Workspace: schedule.WorkspaceOf(c.workspace.Name),
 		Hall:      g.hall,
 		Avoid:     c.tried,
-		LeadOnly:  g.notices.Limited(open),
+		LeadOnly:  g.notices.LimitedServers(open),
 		Mark:      mark,
 		Apart:     confined || stage >= quarantine.Suspect,
 		Single:    stage >= quarantine.Serialized,
@@ -344,7 +344,7 @@
 		return p, service, nil
 	}
 	ready = untried(ready, c.tried)
-	if _, wait := g.notices.Open(ready, g.clock.Now()); wait > 0 {
+	if _, wait := g.notices.Available(ready, g.clock.Now()); wait > 0 {
 		return p, service, g.shut(ready, wait)
 	}
 	if stage >= quarantine.Serialized {
--- a/daemon/gateway/notices.go
+++ b/daemon/gateway/notices.go
@@ -30,44 +30,44 @@
 
 func (g *Gateway) noticeLimit(c *call, server backend.Server, h http.Header) {
 	now := g.clock.Now()
-	l, err := notice.ReadLimit(h.Get(g.dialect.Limit))
+	l, err := notice.ParseLimit(h.Get(g.dialect.Limit))
 	if err != nil {
 		g.unreadable(c, server, err)
 		return
 	}
-	if l, changed := g.notices.Answered(server.ID, l, c.sent, now); changed {
+	if l, changed := g.notices.UpdateLimit(server.ID, l, c.sent, now); changed {
 		g.logLimit(byThisHost, server.ID, l)
 		g.tell.Limit(server.ID, l)
 	}
 }
 
 func (g *Gateway) noticeLeaving(c *call, server backend.Server, h http.Header) {
-	leaves, err := notice.ReadLeaving(h.Get(g.dialect.Leaving))
+	leaves, err := notice.ParseLeaving(h.Get(g.dialect.Leaving))
 	if err != nil {
 		g.unreadable(c, server, err)
 		return
 	}
-	if leaves && g.notices.Leaves(server.ID, g.clock.Now()) {
+	if leaves && g.notices.SetLeaving(server.ID, g.clock.Now()) {
 		g.log.Write(event.ServerSaysLeaving, slog.String("id", c.id), slog.String("server", server.ID), slog.String("by", byThisHost))
 		g.tell.Leaving(server.ID)
 	}
 }
 
 func (g *Gateway) noticeRest(c *call, server backend.Server, h http.Header) {
-	rest, err := notice.ReadRest(h.Get(g.dialect.Rest))
+	rest, err := notice.ParseBackoff(h.Get(g.dialect.Rest))
 	if err != nil {
 		g.unreadable(c, server, err)
 		return
 	}
 	if now := g.clock.Now(); rest > 0 {
-		g.notices.Rests(server.ID, now+rest, now)
+		g.notices.ExtendBackoff(server.ID, now+rest, now)
 		g.log.Write(event.ServerWantsRest, slog.String("id", c.id), slog.String("server", server.ID), slog.Duration("rest", rest))
 	}
 }
 
 // HearLeaving takes in that a server has said to another host that it leaves.
 func (g *Gateway) HearLeaving(by, server string) {
-	if !g.notices.HearLeaves(server, g.clock.Now()) {
+	if !g.notices.SetReportedLeaving(server, g.clock.Now()) {
 		return // each host that has such an answer tells of it
 	}
 	g.log.Write(event.ServerSaysLeaving, slog.String("server", server), slog.String("by", by))
@@ -76,14 +76,14 @@
 // unreadable notes that an answer says something of its server that can't be read. What
 // it said before holds on.
 func (g *Gateway) unreadable(c *call, server backend.Server, err error) {
-	if g.notices.Unreadable(server.ID, g.clock.Now()) {
+	if g.notices.SetUnreadable(server.ID, g.clock.Now()) {
 		g.log.Write(event.ServerUnreadable, slog.String("id", c.id), slog.String("server", server.ID), slog.String("error", err.Error()))
 	}
 }
 
 // HearLimit takes in what another host tells of a server.
 func (g *Gateway) HearLimit(by, server string, l notice.Limit) {
-	if g.notices.Hear(server, l, g.clock.Now()) {
+	if g.notices.MergeLimit(server, l, g.clock.Now()) {
 		g.logLimit(by, server, l)
 	}
 }
@@ -91,8 +91,8 @@
 // HearPlaced takes in that another host has sent a request to a server: if that is
 // limited, it takes no more for a while, and it need not be asked for.
 func (g *Gateway) HearPlaced(server string) {
-	if l := g.notices.Limit(server); l.Named {
-		g.notices.Close(server, g.clock.Now()+grant.Pause(l.Rate))
+	if l := g.notices.Limit(server); l.Limited {
+		g.notices.CloseUntil(server, g.clock.Now()+grant.Pause(l.Rate))
 	}
 }
 
@@ -101,7 +101,7 @@
 func (g *Gateway) granted(ctx context.Context, c *call, s State, p schedule.Placement) (time.Duration, bool) {
 	c.granted = ""
 	l := g.notices.Limit(p.Lead)
-	if !l.Named {
+	if !l.Limited {
 		return 0, true
 	}
 	server, known := s.Servers.Get(p.Lead)
@@ -112,7 +112,7 @@
 	if ok {
 		c.granted, wait = p.Lead, grant.Pause(l.Rate)
 	}
-	g.notices.Close(p.Lead, g.clock.Now()+wait)
+	g.notices.CloseUntil(p.Lead, g.clock.Now()+wait)
 	g.metrics.Count("gateway_grants", 1, "granted", strconv.FormatBool(ok))
 	return wait, ok
 }
@@ -120,14 +120,14 @@
 // willing reports whether a call may leave for the lead of its placement, by what this
 // has said since the call was placed.
 func (g *Gateway) willing(c *call, p schedule.Placement) bool {
-	return !g.notices.Leaving(p.Lead) && g.notices.Resting(p.Lead, g.clock.Now()) == 0 && (c.granted == p.Lead || !g.notices.Limit(p.Lead).Named)
+	return !g.notices.Leaving(p.Lead) && g.notices.Backoff(p.Lead, g.clock.Now()) == 0 && (c.granted == p.Lead || !g.notices.Limit(p.Lead).Limited)
 }
 
 // shut refuses a call since no server of its service takes one for a time, by what they
 // have said: they have all the requests that they take, or want rest. Where limits are the
 // cause, others wait too: the caller is told the time in which all servers take one more.
 func (g *Gateway) shut(servers []backend.Server, wait time.Duration) *refusal {
-	limited := g.notices.Limited(servers)
+	limited := g.notices.LimitedServers(servers)
 	if len(limited) == 0 {
 		return refuse(http.StatusServiceUnavailable, "servers_rest", wait)
 	}
@@ -145,12 +145,12 @@
 // logLimit writes the limit that holds for a server now, with who saw it.
 func (g *Gateway) logLimit(by, server string, l notice.Limit) {
 	g.metrics.Count("gateway_server_limits", 1, "own", strconv.FormatBool(by == byThisHost))
-	g.log.Write(event.ServerLimit, slog.String("server", server), slog.Bool("limited", l.Named),
+	g.log.Write(event.ServerLimit, slog.String("server", server), slog.Bool("limited", l.Limited),
 		slog.Float64("rate", l.Rate), slog.Uint64("version", l.Version), slog.String("by", by))
 }
 
 // forgetNotices drops what servers have said that are gone.
 func (g *Gateway) forgetNotices(now time.Duration) {
 	servers := g.state().Servers
-	g.notices.Forget(func(id string) bool { _, ok := servers.Get(id); return ok }, now)
+	g.notices.Prune(func(id string) bool { _, ok := servers.Get(id); return ok }, now)
 }
--- a/daemon/grants/grants.go
+++ b/daemon/grants/grants.go
@@ -50,7 +50,7 @@
 	// It is safe for use by many goroutines.
 	Keeper struct {
 		self    grant.Host
-		notices *notice.Book
+		notices *notice.Registry
 		send    func(to netip.AddrPort, q grant.Question)
 		now     func() time.Duration
 		ledger  *grant.Ledger
@@ -66,7 +66,7 @@
 )
 
 // New returns a keeper that knows no other hosts.
-func New(name, hall string, b *notice.Book, send func(to netip.AddrPort, q grant.Question), now func() time.Duration) *Keeper {
+func New(name, hall string, b *notice.Registry, send func(to netip.AddrPort, q grant.Question), now func() time.Duration) *Keeper {
 	return &Keeper{
 		self: grant.Host{Name: name, Hall: hall}, notices: b, send: send, now: now,
 		ledger:  grant.NewLedger(),
@@ -97,7 +97,7 @@
 // and after how long it may.
 func (k *Keeper) Take(ctx context.Context, s backend.Server) (bool, time.Duration) {
 	l := k.notices.Limit(s.ID)
-	if !l.Named {
+	if !l.Limited {
 		return true, 0
 	}
 	hosts := k.holders(s.ID, s.Hall)
@@ -108,7 +108,7 @@
 	// The next one knows whether the first has gone, sooner than hosts that ask seldom.
 	for _, h := range hosts {
 		if r, ok := k.ask(ctx, h, grant.Question{Server: s.ID, Hall: s.Hall, Limit: l}); ok {
-			k.notices.Hear(s.ID, r.Limit, k.now())
+			k.notices.MergeLimit(s.ID, r.Limit, k.now())
 			return r.Granted, r.Wait
 		}
 	}
@@ -123,7 +123,7 @@
 		r.Limit = k.notices.Limit(q.Server)
 		return r
 	}
-	k.notices.Hear(q.Server, q.Limit, k.now())
+	k.notices.MergeLimit(q.Server, q.Limit, k.now())
 	if r.Limit = k.notices.Limit(q.Server); q.Ping {
 		return r
 	}
@@ -132,7 +132,7 @@
 	case len(hosts) > 0:
 		k.ledger.Drop(q.Server)
 		k.ping(hosts[0]) // it may be gone, and this host the next
-	case !r.Limit.Named:
+	case !r.Limit.Limited:
 		r.Granted = true
 	default:
 		r.Granted, r.Wait = k.ledger.Take(q.Server, r.Limit.Rate, k.now())
--- a/daemon/grants/grants_test.go
+++ b/daemon/grants/grants_test.go
@@ -68,8 +68,8 @@
 			Name: fmt.Sprintf("host-%d", n), Hall: fmt.Sprintf("hall-%d", n%3), Number: uint32(n + 1),
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n / 250), byte(n % 250)}), 1),
 		}}
-		b := notice.NewBook()
-		b.Hear("i-1", notice.Limit{Version: 1, Named: true, Rate: limit}, 0)
+		b := notice.NewRegistry()
+		b.MergeLimit("i-1", notice.Limit{Version: 1, Limited: true, Rate: limit}, 0)
 		h.keeper = New(h.Name, h.Hall, b, func(to netip.AddrPort, q grant.Question) { f.carry(h, to, q) }, f.now)
 		f.hosts = append(f.hosts, h)
 	}
--- a/daemon/news/notice.go
+++ b/daemon/news/notice.go
@@ -47,7 +47,7 @@
 
 // takeNotice takes in a message about what a server has said.
 func (n *News) takeNotice(m message, from netip.AddrPort) {
-	l := notice.Limit{Version: m.LimitVersion, Named: m.Limited, Rate: m.Rate}
+	l := notice.Limit{Version: m.LimitVersion, Limited: m.Limited, Rate: m.Rate}
 	if err := l.Validate(); err != nil {
 		n.log.Write(event.NewsLost, slog.String("from", from.String()), slog.String("error", err.Error()))
 		return
@@ -72,7 +72,7 @@
 
 // withLimit returns the message with a server's limit.
 func (m message) withLimit(l notice.Limit) message {
-	m.LimitVersion, m.Limited, m.Rate = l.Version, l.Named, l.Rate
+	m.LimitVersion, m.Limited, m.Rate = l.Version, l.Limited, l.Rate
 	return m
 }
 
