--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,31 +1,32 @@
-// Package notice keeps what backend servers say of themselves in their answers.
+// Package notice tracks what backend servers report about themselves in the headers of
+// their answers.
 //
-// A server in need names a [Limit]: how many requests a second it takes from all
-// hosts together, for as long as it says so. Hosts learn of it from answers to their
-// own requests and from each other, in any order. What they know of one start of a
-// server therefore has a version, which rises with each change: of two versions the
-// higher one holds, and of equal ones the lower limit.
+// An overloaded server reports a [Limit]: the number of requests per second that it
+// accepts from all hosts together, valid until it reports otherwise. Hosts learn of a
+// limit from the answers to their own requests and from each other, in any order. The
+// limit of a server instance therefore carries a version, which increases with each
+// change: the higher version wins, and for equal versions the lower limit.
 //
-// A server that leaves says so too. To the host that got the answer that stands for as
-// long as this start of the server lasts, whatever its entry in the platform's list says;
-// another start has another ID.
+// A server that is about to shut down reports that it is leaving. For the host that got
+// the answer this is final for the server instance, whatever its entry in the platform's
+// server list says. After a restart the server has another ID.
 //
-// A server that turns a request away may ask the host that sent it for rest, which lasts
-// until its end and binds nobody else.
+// A server that refuses a request may ask the host that sent it to back off for a given
+// time. This applies to that host alone, and later answers don't shorten it.
 //
-// Answers overtake each other. A lower limit holds at once. A higher one, or none,
-// holds only if the answer is to a request that left after this host knew of what it
-// replaces: the server has made that answer later.
+// Answers may overtake each other. A lower limit takes effect at once. A higher limit,
+// or the end of a limit, takes effect only if the request was sent after this host
+// learned of the limit that is replaced, which guarantees that the answer is newer.
 //
 // # Usage
 //
-//	b := notice.NewBook()
-//	l, err := notice.ReadLimit(header)
-//	if now, changed := b.Answered(server, l, sent, clock.Now()); changed { ... tell others }
-//	b.Hear(server, limit, clock.Now())
-//	b.Leaves(server, clock.Now())
-//	b.Rests(server, clock.Now()+rest, clock.Now())
-//	open, wait := b.Open(servers, clock.Now())    // those that may get a request
+//	reg := notice.NewRegistry()
+//	l, err := notice.ParseLimit(header)
+//	if current, changed := reg.UpdateLimit(server, l, sent, clock.Now()); changed { ... send to other hosts }
+//	reg.MergeLimit(server, limit, clock.Now())
+//	reg.SetLeaving(server, clock.Now())
+//	reg.ExtendBackoff(server, clock.Now()+backoff, clock.Now())
+//	available, wait := reg.Available(servers, clock.Now())    // servers that may get a request
 package notice
 
 import (
@@ -42,60 +43,61 @@
 )
 
 const (
-	// keepTime is how long what a server has said is kept after it was last listed:
-	// entries lapse while the platform is away, and come back.
-	keepTime = 10 * time.Minute
-	// mostServers bounds the servers of which something is kept.
-	mostServers = 8192
-	// longestRest is the longest rest that a server can mean.
-	longestRest = time.Hour
-	// doubtTime is for how long another host's word holds that a server leaves: longer
-	// than most servers serve on after that.
-	doubtTime = 30 * time.Second
+	// retention is how long the state of a server is kept after the server was last
+	// listed: entries of the list expire while the platform is down, and return.
+	retention = 10 * time.Minute
+	// maxServers bounds the number of servers whose state is kept.
+	maxServers = 8192
+	// maxBackoff is the longest backoff that a server may ask for.
+	maxBackoff = time.Hour
+	// reportedLeavingTTL is how long another host's report that a server is leaving
+	// stays valid: longer than most servers keep running after they start to leave.
+	reportedLeavingTTL = 30 * time.Second
 )
 
 type (
-	// Limit is how many requests a second a server takes from all hosts together.
-	// The zero value is no limit.
+	// Limit is the number of requests per second that a server accepts from all hosts
+	// together. The zero value means that there is no limit.
 	Limit struct {
-		// Version orders what is known of one start of a server.
+		// Version orders the limits of one server instance.
 		Version uint64
-		// Limited reports whether there is a limit, and Rate is it.
+		// Limited reports whether there is a limit, and Rate is its value in requests
+		// per second.
 		Limited bool
 		Rate    float64
 	}
 
-	// Registry is what servers have said. It is safe for use by many goroutines.
+	// Registry stores the reported state of servers. It is safe for concurrent use.
 	Registry struct {
 		mu      sync.Mutex
-		servers map[string]*said // by ID of their start
+		servers map[string]*serverState // by ID of the server instance
 	}
 
-	// said is what is known of one start of a server.
-	said struct {
-		limit      Limit
-		since      time.Duration // when this host came to know of limit
-		closed     time.Duration // until then the server takes nothing more
-		listed     time.Duration // when the server was listed last
-		rest       time.Duration // until then it wants nothing from this host
-		leaving    bool          // it has said so to this host
-		doubted    time.Duration // until then another host's word holds that it leaves
-		unreadable bool          // an answer could not be read, and that is logged
+	// serverState is the reported state of one server instance.
+	serverState struct {
+		limit                Limit
+		limitSince           time.Duration // when this host learned of limit
+		closedUntil          time.Duration // end of the time in which the limit is exhausted
+		lastListed           time.Duration // when the server was last listed
+		backoffUntil         time.Duration // end of the backoff for this host
+		leaving              bool          // the server reported to this host that it is leaving
+		reportedLeavingUntil time.Duration // end of the time for which another host's report of that is valid
+		unreadable           bool          // an unreadable answer has been logged
 	}
 )
 
-// NewRegistry returns an empty book.
-func NewRegistry() *Registry { return &Registry{servers: map[string]*said{}} }
+// NewRegistry returns an empty registry.
+func NewRegistry() *Registry { return &Registry{servers: map[string]*serverState{}} }
 
-// ParseLimit reads a limit as a server names it: a decimal number of requests a
-// second, 0 or more. Without a text it names none.
+// ParseLimit parses a limit as reported by a server: a decimal number of requests per
+// second, 0 or more. An empty text means that there is no limit.
 func ParseLimit(text string) (Limit, error) {
 	if text == "" {
 		return Limit{}, nil
 	}
 	r, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return Limit{}, errors.Wrapf(err, "limit %q is no number of requests a second", text)
+		return Limit{}, errors.Wrapf(err, "limit %q is not a number of requests per second", text)
 	}
 	l := Limit{Limited: true, Rate: r}
 	if err := l.Validate(); err != nil {
@@ -104,188 +106,200 @@
 	return l, nil
 }
 
-// Validate reports a rate that no server can mean.
+// Validate returns an error if the rate is negative, infinite or not a number.
 func (l Limit) Validate() error {
 	if math.IsNaN(l.Rate) || math.IsInf(l.Rate, 0) || l.Rate < 0 {
-		return errors.Newf("a limit of %v requests a second; want 0 or more", l.Rate)
+		return errors.Newf("limit of %v requests per second; want 0 or more", l.Rate)
 	}
 	return nil
 }
 
-// UpdateLimit takes in the limit that an answer names to a request that left at the time
-// sent. It returns what holds now, and whether that has changed.
-func (b *Registry) UpdateLimit(server string, l Limit, sent, now time.Duration) (Limit, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.servers[server]
+// UpdateLimit applies the limit reported in the answer to a request that was sent at
+// the time sent. It returns the limit in effect, and whether it has changed.
+func (reg *Registry) UpdateLimit(server string, l Limit, sent, now time.Duration) (Limit, bool) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s := reg.servers[server]
 	if s == nil && !l.Limited {
 		return Limit{}, false
 	}
-	s = b.of(server, now)
+	s = reg.getOrCreate(server, now)
 	switch {
 	case s.limit.Limited == l.Limited && s.limit.Rate == l.Rate:
 		return s.limit, false
-	case !l.tighter(s.limit) && sent <= s.since:
+	case !l.lowerThan(s.limit) && sent <= s.limitSince:
 		return s.limit, false
 	}
 	l.Version = s.limit.Version + 1
-	s.set(l, now)
+	s.setLimit(l, now)
 	return l, true
 }
 
-// ParseLeaving reads whether a server says that it leaves.
+// ParseLeaving parses whether a server reports that it is leaving. An empty text means
+// that it is not.
 func ParseLeaving(text string) (bool, error) {
 	if text == "" {
 		return false, nil
 	}
-	leaves, err := strconv.ParseBool(text)
-	return leaves, errors.Wrapf(err, "%q doesn't say whether the server leaves", text)
+	leaving, err := strconv.ParseBool(text)
+	return leaving, errors.Wrapf(err, "leaving notice %q is not a boolean", text)
 }
 
-// ParseBackoff reads for how many seconds a server wants rest. Without a text it wants none.
+// ParseBackoff parses the backoff that a server asks for, a decimal number of seconds
+// from 0 to 3600. An empty text means that there is none.
 func ParseBackoff(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
 	s, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return 0, errors.Wrapf(err, "a rest of %q is no number of seconds", text)
+		return 0, errors.Wrapf(err, "backoff %q is not a number of seconds", text)
 	}
-	if math.IsNaN(s) || s < 0 || s > longestRest.Seconds() {
-		return 0, errors.Newf("a rest of %q seconds; want 0 to %v", text, longestRest.Seconds())
+	if math.IsNaN(s) || s < 0 || s > maxBackoff.Seconds() {
+		return 0, errors.Newf("backoff of %q seconds; want 0 to %v", text, maxBackoff.Seconds())
 	}
 	return time.Duration(s * float64(time.Second)), nil
 }
 
-// ExtendBackoff takes in that a server wants nothing from this host until a time. No answer that
-// says something else ends that earlier.
-func (b *Registry) ExtendBackoff(server string, until, now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.of(server, now)
-	s.rest = max(s.rest, until)
+// ExtendBackoff records that a server asks this host to send it no requests until a
+// given time. It never shortens an earlier backoff.
+func (reg *Registry) ExtendBackoff(server string, until, now time.Duration) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s := reg.getOrCreate(server, now)
+	s.backoffUntil = max(s.backoffUntil, until)
 }
 
-// Backoff is for how long a server wants nothing from this host; 0 if it takes requests.
-func (b *Registry) Backoff(server string, now time.Duration) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.servers[server]
+// Backoff returns the remaining time for which this host must send a server no requests,
+// 0 if there is none.
+func (reg *Registry) Backoff(server string, now time.Duration) time.Duration {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s := reg.servers[server]
 	if s == nil {
 		return 0
 	}
-	return max(s.rest-now, 0)
+	return max(s.backoffUntil-now, 0)
 }
 
-// SetLeaving takes in that a server has said to this host that it leaves, and reports
-// whether that is new. It stands until this start of the server has ended.
-func (b *Registry) SetLeaving(server string, now time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.of(server, now)
+// SetLeaving records that a server has reported to this host that it is leaving, and
+// reports whether that is new. It can't be undone for this server instance.
+func (reg *Registry) SetLeaving(server string, now time.Duration) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s := reg.getOrCreate(server, now)
 	first := !s.leaving
 	s.leaving = true
 	return first
 }
 
-// SetReportedLeaving takes in that a server has said so to another host. Nobody vouches for
-// that word, so it holds for a while, and not where all servers of a service are said to
-// leave: then this host asks them itself. It reports whether it didn't hold before.
-func (b *Registry) SetReportedLeaving(server string, now time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.of(server, now)
-	first := now >= s.doubted
-	s.doubted = now + doubtTime
+// SetReportedLeaving records that another host reports a server as leaving. Such reports
+// are unverified. They are therefore valid for reportedLeavingTTL only, and ignored if
+// all servers of a service are reported as leaving: this host then learns the truth from
+// its own requests. It returns true unless an earlier report is still valid.
+func (reg *Registry) SetReportedLeaving(server string, now time.Duration) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s := reg.getOrCreate(server, now)
+	first := now >= s.reportedLeavingUntil
+	s.reportedLeavingUntil = now + reportedLeavingTTL
 	return first
 }
 
-// Leaving reports whether a server has said to this host that it leaves.
-func (b *Registry) Leaving(server string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.servers[server]
+// Leaving reports whether a server has reported to this host that it is leaving.
+func (reg *Registry) Leaving(server string) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s := reg.servers[server]
 	return s != nil && s.leaving
 }
 
-// MergeLimit takes in what another host knows of a server, and reports whether that
-// changed what is known here.
-func (b *Registry) MergeLimit(server string, l Limit, now time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.servers[server]
+// MergeLimit merges a server's limit received from another host, and reports whether
+// that has changed the limit in effect.
+func (reg *Registry) MergeLimit(server string, l Limit, now time.Duration) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s := reg.servers[server]
 	if s == nil && l.Version == 0 {
 		return false
 	}
-	s = b.of(server, now)
-	if !l.newer(s.limit) {
+	s = reg.getOrCreate(server, now)
+	if !l.supersedes(s.limit) {
 		return false
 	}
-	s.set(l, now)
+	s.setLimit(l, now)
 	return true
 }
 
-// set brings a limit into force. What is granted of it is not known yet.
-func (s *said) set(l Limit, now time.Duration) { s.limit, s.since, s.closed = l, now, 0 }
+// setLimit puts a limit into effect. The server is open again until CloseUntil is called
+// for the new limit.
+func (s *serverState) setLimit(l Limit, now time.Duration) {
+	s.limit, s.limitSince, s.closedUntil = l, now, 0
+}
 
-// CloseUntil notes that a limited server takes nothing more until a time.
-func (b *Registry) CloseUntil(server string, until time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.servers[server]; s != nil && s.limit.Limited {
-		s.closed = max(s.closed, until)
+// CloseUntil records that the limit of a server is exhausted until a given time. It has
+// no effect on a server without a limit.
+func (reg *Registry) CloseUntil(server string, until time.Duration) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if s := reg.servers[server]; s != nil && s.limit.Limited {
+		s.closedUntil = max(s.closedUntil, until)
 	}
 }
 
-// Available returns those of some servers that may get a request now. Where there is none
-// since all are closed, it tells how long it takes until one isn't.
-func (b *Registry) Available(servers []backend.Server, now time.Duration) ([]backend.Server, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !slices.ContainsFunc(servers, func(s backend.Server) bool { return b.spared(s.ID, now) }) {
+// Available returns those of the given servers that may get a request now. Servers that
+// only other hosts report as leaving are returned if there are no others. If no server
+// is available, it returns the time until the first becomes available, 0 if all are
+// leaving.
+func (reg *Registry) Available(servers []backend.Server, now time.Duration) ([]backend.Server, time.Duration) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if !slices.ContainsFunc(servers, func(s backend.Server) bool { return reg.avoided(s.ID, now) }) {
 		return servers, 0
 	}
-	open, doubted, wait := servers[:0:0], servers[:0:0], time.Duration(0)
+	available, reportedLeaving, wait := servers[:0:0], servers[:0:0], time.Duration(0)
 	for _, server := range servers {
-		s := b.servers[server.ID]
+		s := reg.servers[server.ID]
 		switch {
-		case !b.spared(server.ID, now):
-			open = append(open, server)
-		case s.open(now):
-			doubted = append(doubted, server)
-		case !s.leaving && (wait == 0 || s.until()-now < wait):
-			wait = s.until() - now
+		case !reg.avoided(server.ID, now):
+			available = append(available, server)
+		case s.available(now):
+			reportedLeaving = append(reportedLeaving, server)
+		case !s.leaving && (wait == 0 || s.availableAt()-now < wait):
+			wait = s.availableAt() - now
 		}
 	}
 	switch {
-	case len(open) > 0:
-		return open, 0
-	case len(doubted) > 0:
-		return doubted, 0
+	case len(available) > 0:
+		return available, 0
+	case len(reportedLeaving) > 0:
+		return reportedLeaving, 0
 	}
 	return nil, wait
 }
 
-// spared reports whether a server had better get no request now, by what it has said to
-// this host or another.
-func (b *Registry) spared(server string, now time.Duration) bool {
-	s := b.servers[server]
-	return s != nil && (!s.open(now) || now < s.doubted)
+// avoided reports whether a server should get no request now, according to its own
+// answers or to reports of other hosts.
+func (reg *Registry) avoided(server string, now time.Duration) bool {
+	s := reg.servers[server]
+	return s != nil && (!s.available(now) || now < s.reportedLeavingUntil)
 }
 
-// open reports whether a server may get a request now, by what it has said to this host.
-func (s *said) open(now time.Duration) bool { return !s.leaving && now >= s.until() }
+// available reports whether a server may get a request now. It ignores other hosts'
+// reports that the server is leaving.
+func (s *serverState) available(now time.Duration) bool { return !s.leaving && now >= s.availableAt() }
 
-// until is when a server that doesn't leave may get a request.
-func (s *said) until() time.Duration { return max(s.closed, s.rest) }
+// availableAt returns the time from which a server that isn't leaving may get a request.
+func (s *serverState) availableAt() time.Duration { return max(s.closedUntil, s.backoffUntil) }
 
-// LimitedServers returns those of some servers that name a limit, by ID; nil for none.
-func (b *Registry) LimitedServers(servers []backend.Server) map[string]bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// LimitedServers returns the IDs of those of the given servers that have a limit, nil if
+// there are none.
+func (reg *Registry) LimitedServers(servers []backend.Server) map[string]bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	var limited map[string]bool
 	for _, server := range servers {
-		if s := b.servers[server.ID]; s == nil || !s.limit.Limited {
+		if s := reg.servers[server.ID]; s == nil || !s.limit.Limited {
 			continue
 		}
 		if limited == nil {
@@ -296,70 +310,70 @@
 	return limited
 }
 
-// Limit returns what is known of a server.
-func (b *Registry) Limit(server string) Limit {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.servers[server]; s != nil {
+// Limit returns the limit of a server, the zero value if none is known.
+func (reg *Registry) Limit(server string) Limit {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if s := reg.servers[server]; s != nil {
 		return s.limit
 	}
 	return Limit{}
 }
 
-// SetUnreadable notes that an answer of a server can't be read, and reports whether
-// that is the first one.
-func (b *Registry) SetUnreadable(server string, now time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.of(server, now)
+// SetUnreadable records that an answer of a server contained an unreadable notice, and
+// reports whether it is the first one.
+func (reg *Registry) SetUnreadable(server string, now time.Duration) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	s := reg.getOrCreate(server, now)
 	first := !s.unreadable
 	s.unreadable = true
 	return first
 }
 
-// Prune drops what servers have said that are not listed any more.
-func (b *Registry) Prune(listed func(server string) bool, now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id, s := range b.servers {
+// Prune removes the state of servers that have not been listed for the retention time.
+func (reg *Registry) Prune(listed func(server string) bool, now time.Duration) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	for id, s := range reg.servers {
 		switch {
 		case listed(id):
-			s.listed = now
-		case now-s.listed > keepTime:
-			delete(b.servers, id)
+			s.lastListed = now
+		case now-s.lastListed > retention:
+			delete(reg.servers, id)
 		}
 	}
 }
 
-// of returns what is known of a server. A new one takes the place of the one that was
-// listed longest ago, if there are too many.
-func (b *Registry) of(server string, now time.Duration) *said {
-	if s := b.servers[server]; s != nil {
+// getOrCreate returns the state of a server. If the registry is full, a new server evicts
+// the one that was listed longest ago.
+func (reg *Registry) getOrCreate(server string, now time.Duration) *serverState {
+	if s := reg.servers[server]; s != nil {
 		return s
 	}
-	if len(b.servers) >= mostServers {
+	if len(reg.servers) >= maxServers {
 		var oldest string
-		for id, s := range b.servers {
-			if oldest == "" || s.listed < b.servers[oldest].listed {
+		for id, s := range reg.servers {
+			if oldest == "" || s.lastListed < reg.servers[oldest].lastListed {
 				oldest = id
 			}
 		}
-		delete(b.servers, oldest)
+		delete(reg.servers, oldest)
 	}
-	s := &said{listed: now}
-	b.servers[server] = s
+	s := &serverState{lastListed: now}
+	reg.servers[server] = s
 	return s
 }
 
-// tighter reports whether a limit lets fewer requests through than another.
-func (l Limit) tighter(other Limit) bool {
+// lowerThan reports whether the limit allows fewer requests than another one.
+func (l Limit) lowerThan(other Limit) bool {
 	return l.Limited && (!other.Limited || l.Rate < other.Rate)
 }
 
-// newer reports whether a limit takes the place of another one.
-func (l Limit) newer(other Limit) bool {
+// supersedes reports whether the limit replaces another one of the same server instance.
+func (l Limit) supersedes(other Limit) bool {
 	if c := cmp.Compare(l.Version, other.Version); c != 0 {
 		return c > 0
 	}
-	return l.tighter(other)
+	return l.lowerThan(other)
 }
