--- a/core/freshness/freshness.go
+++ b/core/freshness/freshness.go
@@ -1,17 +1,17 @@
-// Package freshness tells how old the newest proof is that a piece of state
-// was current.
+// Package freshness determines the age of the latest proof that a piece of state was
+// current.
 //
-// The platform's answers carry a reading of its own steady clock. An answer
-// was made at some moment between its question and its arrival, so each pair
-// of readings bounds how far that clock is ahead of ours; the smallest upper
-// bound over many answers is the one to trust. Neither side's time of day
-// takes part, since that jumps.
+// The platform's answers carry a reading of its own monotonic clock. The platform made
+// an answer at some time between the sending of the question and the arrival of the
+// answer, so each exchange gives an upper bound on the offset of that clock from the
+// local one. The smallest bound over many exchanges is the most accurate. Wall clocks
+// play no part on either side, since they may jump.
 //
 // # Usage
 //
 //	c := freshness.NewClock()
 //	c.Observe(sent, stamp)
-//	age := c.Age(stamp, now)    // at least the true age
+//	age, ok := c.Age(stamp, now)    // at least the true age
 package freshness
 
 import (
@@ -19,46 +19,48 @@
 	"time"
 )
 
-// drift is how much two steady clocks may differ in rate: 100 parts in a
-// million, twice what crystal oscillators are specified for.
-const drift = 100e-6
+// maxDrift is the maximum difference in rate between two monotonic clocks: 100 parts per
+// million, twice the specified tolerance of crystal oscillators.
+const maxDrift = 100e-6
 
-// Clock bounds how far the platform's steady clock is ahead of ours. All our
-// times are durations since one moment of this process's steady clock. It is
-// safe for use by many goroutines.
+// Clock maintains an upper bound on the offset of the platform's monotonic clock from
+// the local one. All local times are durations since a fixed point of this process's
+// monotonic clock. It is safe for concurrent use.
 type Clock struct {
-	mu    sync.Mutex
-	ahead time.Duration // an upper bound, true at the time at
-	at    time.Duration
-	known bool
+	mu       sync.Mutex
+	offset   time.Duration // upper bound, valid at boundAt
+	boundAt  time.Duration
+	observed bool
 }
 
-// NewClock returns a clock that knows nothing yet.
+// NewClock returns a clock without observations.
 func NewClock() *Clock { return &Clock{} }
 
-// Observe takes in one answer: when its question was sent, on our clock, and
-// the platform's reading in it.
+// Observe records one exchange: the local time at which the question was sent, and the
+// platform's clock reading in the answer.
 func (c *Clock) Observe(sent, stamp time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b := stamp - sent
-	if !c.known || b < c.bound(sent) {
-		c.ahead, c.at, c.known = b, sent, true
+	if !c.observed || b < c.maxOffset(sent) {
+		c.offset, c.boundAt, c.observed = b, sent, true
 	}
 }
 
-// Age returns how old the reading stamp is at the time now: never less than
-// the truth. It reports false if no answer was seen yet.
+// Age returns an upper bound on the age, at the local time now, of the platform's clock
+// reading stamp. It is never less than the true age. It reports false before the first
+// observation.
 func (c *Clock) Age(stamp, now time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.known {
+	if !c.observed {
 		return 0, false
 	}
-	return max(now+c.bound(now)-stamp, 0), true
+	return max(now+c.maxOffset(now)-stamp, 0), true
 }
 
-// bound is the upper bound grown by the drift since it was found.
-func (c *Clock) bound(now time.Duration) time.Duration {
-	return c.ahead + time.Duration(float64(max(now-c.at, 0))*drift)
+// maxOffset returns the upper bound on the offset at the local time now, which grows by
+// the drift since the bound was observed.
+func (c *Clock) maxOffset(now time.Duration) time.Duration {
+	return c.offset + time.Duration(float64(max(now-c.boundAt, 0))*maxDrift)
 }
