--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -9,131 +9,135 @@
 )
 
 type (
-	// End is a server that ended under a request.
-	End struct {
+	// Crash is the crash of a server that was running a request.
+	Crash struct {
 		_ struct{} `cbor:",toarray"`
-		// Server is a digest of its ID, by [ServerOf].
+		// Server is the digest of the server's ID, see [ServerDigest].
 		Server uint32
-		// By is the number of the host that found it closed: of several the least.
-		By uint32
-		// Apart says that no other suspect was known to run there.
-		Apart bool
-		// Proved says that there is more than one host's word for it.
-		Proved bool
+		// Reporter is the number of the host that found the server's port closed, the
+		// lowest if there are several.
+		Reporter uint32 `json:"By"`
+		// Isolated reports that no other suspect was known to run on the server.
+		Isolated bool `json:"Apart"`
+		// Confirmed reports that the crash has been confirmed by a second host or by
+		// the platform's server list.
+		Confirmed bool `json:"Proved"`
 	}
 
-	// Record is what is known of a suspect: an immutable value.
+	// Record holds the evidence against a suspect. It is an immutable value.
 	Record struct {
-		_         struct{} `cbor:",toarray"`
-		Mark      Mark
-		Print     Print
-		Workspace string
-		Ends      []End // by server, each once
-		// Pardons counts how often it was cleared, by an answer or an operator.
-		// Ends that were known before the last time don't count.
+		_           struct{}    `cbor:",toarray"`
+		HeadHash    HeadHash    `json:"Mark"`
+		Fingerprint Fingerprint `json:"Print"`
+		Workspace   string
+		Crashes     []Crash `json:"Ends"` // sorted by server, one per server
+		// Pardons counts how often the suspect was cleared, by an answer or by an
+		// operator. Clearing it discards all crashes recorded before.
 		Pardons uint32
 	}
 )
 
-// ServerOf digests a server's ID.
-func ServerOf(id string) uint32 {
+// ServerDigest returns the 32-bit FNV-1a hash of a server's ID.
+func ServerDigest(id string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
 	return h.Sum32()
 }
 
-// Stage returns what becomes of the request. What makes callers wait, or refuses
-// them, rests on ends that are proved: by one host's word alone, 6,544 of 7,326
-// harmless requests were refused while two halls lost each other with resets ten
-// times in six seconds, and two were held for an hour on a day of 72 hosts.
+// Stage returns the stage that follows from the record. The stages that delay or refuse
+// requests require confirmed crashes. When the observation of one host was enough,
+// 6,544 of 7,326 harmless requests were refused while two halls lost their connection
+// with resets ten times in six seconds, and two requests were blocked for an hour on a
+// day with 72 hosts.
 func (r Record) Stage() Stage {
-	proved := r.count(End.proved)
-	switch n := len(r.Ends); {
-	case proved >= heldEnds && r.count(End.blames) >= apartEnds:
-		return Held
-	case n >= doubtfulEnds && proved > 0:
-		return Doubtful
+	confirmed := r.count(Crash.confirmed)
+	switch n := len(r.Crashes); {
+	case confirmed >= blockAfterCrashes && r.count(Crash.attributable) >= minIsolatedCrashes:
+		return Blocked
+	case n >= serializeAfterCrashes && confirmed > 0:
+		return Serialized
 	case n > 0:
 		return Suspect
 	}
 	return Clear
 }
 
-// Unproved reports whether the record has an end that isn't proved.
-func (r Record) Unproved() bool { return r.count(End.proved) < len(r.Ends) }
+// HasUnconfirmed reports whether the record has a crash that isn't confirmed.
+func (r Record) HasUnconfirmed() bool { return r.count(Crash.confirmed) < len(r.Crashes) }
 
-// Validate reports what is wrong with a record that somebody else has made.
+// Validate returns an error if a record received from elsewhere is malformed.
 func (r Record) Validate() error {
 	switch {
-	case r.Print == Print{}:
-		return errors.New("a suspect without a print")
-	case len(r.Workspace) > maxName:
-		return errors.Newf("a suspect's workspace has a name of %d bytes", len(r.Workspace))
-	case len(r.Ends) == 0 && r.Pardons == 0, len(r.Ends) > mostEnds:
-		return errors.Newf("a suspect with %d servers", len(r.Ends))
-	case !slices.IsSortedFunc(r.Ends, byServer):
-		return errors.New("a suspect's servers are out of order")
+	case r.Fingerprint == Fingerprint{}:
+		return errors.New("suspect record without a fingerprint")
+	case len(r.Workspace) > maxWorkspaceBytes:
+		return errors.Newf("suspect record with a workspace name of %d bytes", len(r.Workspace))
+	case len(r.Crashes) == 0 && r.Pardons == 0, len(r.Crashes) > maxCrashes:
+		return errors.Newf("suspect record with %d crashes", len(r.Crashes))
+	case !slices.IsSortedFunc(r.Crashes, compareServers):
+		return errors.New("suspect record with crashes not sorted by server")
 	}
 	return nil
 }
 
-// with returns the record with what another one says of the same request.
-func (r Record) with(o Record) Record {
+// merged returns the record merged with another record of the same request. If their
+// pardon counts differ, the record with the higher count replaces the other.
+func (r Record) merged(o Record) Record {
 	switch {
 	case o.Pardons > r.Pardons:
-		r.Pardons, r.Ends = o.Pardons, nil
+		r.Pardons, r.Crashes = o.Pardons, nil
 	case o.Pardons < r.Pardons:
 		return r
 	}
-	all := slices.Clone(r.Ends)
-	for _, e := range o.Ends {
-		i, known := slices.BinarySearchFunc(all, e, byServer)
+	all := slices.Clone(r.Crashes)
+	for _, c := range o.Crashes {
+		i, found := slices.BinarySearchFunc(all, c, compareServers)
 		switch {
-		case known:
-			all[i] = all[i].with(e)
-		case len(all) < mostEnds:
-			all = slices.Insert(all, i, e)
+		case found:
+			all[i] = all[i].merged(c)
+		case len(all) < maxCrashes:
+			all = slices.Insert(all, i, c)
 		}
 	}
-	r.Ends = all
+	r.Crashes = all
 	return r
 }
 
-// withProved returns the record with the end of a server proved, and whether that
-// is new.
-func (r Record) withProved(server uint32) (Record, bool) {
-	i, known := slices.BinarySearchFunc(r.Ends, End{Server: server}, byServer)
-	if !known || r.Ends[i].Proved {
+// withConfirmed returns the record with the crash of a server confirmed, and whether
+// this changes the record.
+func (r Record) withConfirmed(server uint32) (Record, bool) {
+	i, found := slices.BinarySearchFunc(r.Crashes, Crash{Server: server}, compareServers)
+	if !found || r.Crashes[i].Confirmed {
 		return r, false
 	}
-	r.Ends = slices.Clone(r.Ends)
-	r.Ends[i].Proved = true
+	r.Crashes = slices.Clone(r.Crashes)
+	r.Crashes[i].Confirmed = true
 	return r, true
 }
 
-// count counts the ends of a kind.
-func (r Record) count(of func(End) bool) int {
+// count returns the number of crashes that match a predicate.
+func (r Record) count(match func(Crash) bool) int {
 	n := 0
-	for _, e := range r.Ends {
-		if of(e) {
+	for _, c := range r.Crashes {
+		if match(c) {
 			n++
 		}
 	}
 	return n
 }
 
-// with returns the end with what another host says of it.
-func (e End) with(o End) End {
-	e.By = min(e.By, o.By)
-	e.Apart = e.Apart || o.Apart
-	e.Proved = e.Proved || o.Proved
-	return e
+// merged returns the crash merged with another host's report of the same crash.
+func (c Crash) merged(o Crash) Crash {
+	c.Reporter = min(c.Reporter, o.Reporter)
+	c.Isolated = c.Isolated || o.Isolated
+	c.Confirmed = c.Confirmed || o.Confirmed
+	return c
 }
 
-func (e End) proved() bool { return e.Proved }
+func (c Crash) confirmed() bool { return c.Confirmed }
 
-// blames reports whether the end says more of this request than of others that
-// ran there.
-func (e End) blames() bool { return e.Proved && e.Apart }
+// attributable reports whether the crash is evidence against this request rather than
+// against others that were running on the server.
+func (c Crash) attributable() bool { return c.Confirmed && c.Isolated }
 
-func byServer(x, y End) int { return cmp.Compare(x.Server, y.Server) }
+func compareServers(x, y Crash) int { return cmp.Compare(x.Server, y.Server) }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -85,9 +85,9 @@
 		gateway  *gateway.Gateway
 		news     *news.News
 		// quarantine is what is known of requests under which servers ended.
-		quarantine *quarantine.Book
+		quarantine *quarantine.Registry
 		// notices are what servers have said of themselves.
-		notices *notice.Book
+		notices *notice.Registry
 		// grants hands out the requests that limited servers take from all hosts.
 		grants *grants.Keeper
 		// changed wakes who stores suspects, and known who routes news, since other hosts
@@ -118,8 +118,8 @@
 		metrics:  telemetry.NewMetrics(),
 		clock:    boottime.New(),
 
-		quarantine: quarantine.NewBook(),
-		notices:    notice.NewBook(),
+		quarantine: quarantine.NewRegistry(),
+		notices:    notice.NewRegistry(),
 		changed:    make(chan struct{}, 1),
 		known:      make(chan struct{}, 1),
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -84,8 +84,8 @@
 		memory         *memory.Keeper // nil if none can be set aside
 		shares         *shares
 		exchanges      *exchanges
-		quarantine     *quarantine.Book
-		notices        *notice.Book
+		quarantine     *quarantine.Registry
+		notices        *notice.Registry
 		roster         *quarantine.Roster // upkeep's, of the servers listed
 		listed         *backend.View
 		looks          *looks
@@ -134,12 +134,12 @@
 
 // WithQuarantine sets what is known of requests under which servers ended, and who
 // is told that this host knows more.
-func WithQuarantine(b *quarantine.Book, changed func()) Option {
+func WithQuarantine(b *quarantine.Registry, changed func()) Option {
 	return func(g *Gateway) { g.quarantine, g.suspects = b, changed }
 }
 
 // WithNotices sets what servers have said of themselves, and who tells others.
-func WithNotices(b *notice.Book, t Tell) Option {
+func WithNotices(b *notice.Registry, t Tell) Option {
 	return func(g *Gateway) { g.notices, g.tell = b, t }
 }
 
@@ -173,8 +173,8 @@
 		failed:    func(string) {},
 
 		exchanges:  newExchanges(),
-		quarantine: quarantine.NewBook(),
-		notices:    notice.NewBook(),
+		quarantine: quarantine.NewRegistry(),
+		notices:    notice.NewRegistry(),
 		roster:     quarantine.NewRoster(),
 		looks:      newLooks(),
 		hosts:      func() []quarantine.Host { return nil },
@@ -322,11 +322,11 @@
 		return schedule.Placement{}, service, refuse(http.StatusServiceUnavailable, "no_server", busyWait)
 	}
 	mark := uint64(c.mark)
-	if confined && stage < quarantine.Doubtful {
-		mark = uint64(quarantine.WorkspaceMark(c.workspace.Name))
+	if confined && stage < quarantine.Serialized {
+		mark = uint64(quarantine.WorkspaceHash(c.workspace.Name))
 	}
 	ready := s.ready(service.Name)
-	open, _ := g.notices.Open(ready, g.clock.Now())
+	open, _ := g.notices.Available(ready, g.clock.Now())
 	p, ok := g.board.Place(g.clock.Now(), service, open, schedule.Request{
 		Work:      c.work,
 		Objective: c.route.Objective - time.Since(c.arrived),
@@ -334,20 +334,20 @@
 		Workspace: schedule.WorkspaceOf(c.workspace.Name),
 		Hall:      g.hall,
 		Avoid:     c.tried,
-		LeadOnly:  g.notices.Limited(open),
+		LeadOnly:  g.notices.LimitedServers(open),
 		Mark:      mark,
 		Apart:     confined || stage >= quarantine.Suspect,
-		Single:    stage >= quarantine.Doubtful,
+		Single:    stage >= quarantine.Serialized,
 		Copied:    confined || c.copied,
 	})
 	if ok {
 		return p, service, nil
 	}
 	ready = untried(ready, c.tried)
-	if _, wait := g.notices.Open(ready, g.clock.Now()); wait > 0 {
+	if _, wait := g.notices.Available(ready, g.clock.Now()); wait > 0 {
 		return p, service, g.shut(ready, wait)
 	}
-	if stage >= quarantine.Doubtful {
+	if stage >= quarantine.Serialized {
 		return p, service, refuse(http.StatusServiceUnavailable, "suspect_waits", apartWait)
 	}
 	return p, service, refuse(http.StatusServiceUnavailable, "no_server", busyWait)
