--- a/cmd/capacity/request.go
+++ b/cmd/capacity/request.go
@@ -56,7 +56,7 @@
 			}
 			p := route.Prompt{
 				Workspace: "till", Model: devel.Model, Version: devel.Version, Tokens: 4000, MaxTokens: 100,
-				Priority: time.Now().UnixMilli(), Marks: route.NewMarks(chain), Deadline: time.Now().Add(time.Hour),
+				Priority: time.Now().UnixMilli(), PrefixHashes: route.NewPrefixHashes(chain), Deadline: time.Now().Add(time.Hour),
 			}
 			a, b := f.Nodes[0], f.Nodes[1]
 			if a.Loop().View().Owner(f.EngineAddrs[0]) != b.Peers() { // ports decide who owns what
--- a/cmd/capacity/state.go
+++ b/cmd/capacity/state.go
@@ -130,7 +130,7 @@
 func offerTime() float64 {
 	now := time.Now()
 	l := route.NewLoadTracker("e", now)
-	l.Report(route.Load{Taken: now, Incarnation: 1, Total: 400_000}, now)
+	l.ApplyReport(route.Load{Taken: now, Incarnation: 1, Total: 400_000}, now)
 	p := route.Prompt{Tokens: 4000, MaxTokens: 100, Deadline: now.Add(time.Hour)}
 	for i := range 50 {
 		p.Priority = int64(i)
--- a/cmd/devel/large_test.go
+++ b/cmd/devel/large_test.go
@@ -130,7 +130,7 @@
 		ask.Deadline = time.Now().Add(4 * time.Second)
 		ask.Priority = ask.Deadline.UnixMilli()
 		os := f.Nodes[0].Loop().Offers(ctx, ask)
-		return len(os) == 4 && !slices.ContainsFunc(os, func(o route.Offer) bool { return !o.Held })
+		return len(os) == 4 && !slices.ContainsFunc(os, func(o route.Offer) bool { return !o.BlockedByGroup })
 	})
 	status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "manuscripts", prompt(t, tokens(900), 3, false), map[string]string{"X-Deadline-Ms": "4000"})
 	if status != http.StatusOK {
--- a/cmd/policy/policies.go
+++ b/cmd/policy/policies.go
@@ -158,19 +158,19 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	b := o.books[e]
-	b.Report(route.Load{
+	b.ApplyReport(route.Load{
 		Taken: time.Now().Add(-r.Age), Incarnation: r.Incarnation,
 		Pending: r.PendingTokens, Waiting: r.Waiting, Used: r.UsedTokens, Total: r.TotalTokens,
 	}, time.Now())
-	if len(p.Blocks) > 0 || !b.Blocks().Trusted() {
-		b.Blocks().Resync(p.Blocks, p.Number)
+	if len(p.Blocks) > 0 || !b.CacheIndex().InSync() {
+		b.CacheIndex().Resync(p.Blocks, p.Number)
 		return
 	}
 	for _, x := range p.Events {
 		if x.Evicted {
-			b.Blocks().Evict(x.Number, x.Block)
+			b.CacheIndex().Evict(x.Number, x.Block)
 		} else {
-			b.Blocks().Add(x.Number, x.Block)
+			b.CacheIndex().Add(x.Number, x.Block)
 		}
 	}
 }
--- a/cmd/policy/policy.go
+++ b/cmd/policy/policy.go
@@ -207,7 +207,7 @@
 		w := r.IntN(s.Workspaces)
 		q.Chain = s.chain(r, w, tokens)
 		q.Prompt = route.Prompt{
-			Workspace: strconv.Itoa(w), Share: s.share(w), Model: model, Tokens: tokens, MaxTokens: s.MaxTokens, Marks: route.NewMarks(q.Chain),
+			Workspace: strconv.Itoa(w), Share: s.share(w), Model: model, Tokens: tokens, MaxTokens: s.MaxTokens, PrefixHashes: route.NewPrefixHashes(q.Chain),
 		}
 		out = append(out, q)
 	}
--- a/core/route/index.go
+++ b/core/route/index.go
@@ -23,11 +23,11 @@
 	x.number, x.trust = 0, false
 }
 
-// Number returns the number of the last event taken.
-func (x *Index) Number() uint64 { return x.number }
+// LastEvent returns the number of the last event taken.
+func (x *Index) LastEvent() uint64 { return x.number }
 
-// Trusted reports whether no event was missed since the last resync.
-func (x *Index) Trusted() bool { return x.trust }
+// InSync reports whether no event was missed since the last resync.
+func (x *Index) InSync() bool { return x.trust }
 
 // Len returns the number of blocks known.
 func (x *Index) Len() int { return len(x.blocks) }
@@ -77,9 +77,9 @@
 // cached block implies the blocks before it, so a binary search finds it.
 // While the index is not trusted it claims half of that, since what it shows
 // may have been evicted.
-func (x *Index) Cached(ms []Mark) int {
+func (x *Index) Cached(ms []PrefixHash) int {
 	i := sort.Search(len(ms), func(i int) bool {
-		_, ok := x.blocks[ms[i].Name]
+		_, ok := x.blocks[ms[i].Hash]
 		return !ok
 	})
 	if i == 0 {
--- a/core/route/learn_test.go
+++ b/core/route/learn_test.go
@@ -64,10 +64,10 @@
 	for name, perSecond := range map[string]int{"busy": 18, "overloaded": 50} {
 		t.Run(name, func(t *testing.T) {
 			l := tracker(0)
-			l.Blocks().Resync(chain[:blocks], blocks)
+			l.CacheIndex().Resync(chain[:blocks], blocks)
 			e := &fifo{rate: rate, cached: blocks * prefix.BlockTokens}
 			ask := route.Prompt{
-				Workspace: "till", Share: 1, Tokens: tokens, Marks: route.NewMarks(chain), Deadline: start.Add(time.Hour),
+				Workspace: "till", Share: 1, Tokens: tokens, PrefixHashes: route.NewPrefixHashes(chain), Deadline: start.Add(time.Hour),
 			}
 			now, arrived := start, 0
 			for i := range seconds * slices {
@@ -82,7 +82,7 @@
 					l.Finish(id, 0, now)
 				}
 				if i%(slices/2) == 0 {
-					l.Report(route.Load{Taken: now, Incarnation: 1, Pending: e.pending(), Total: 1 << 30}, now)
+					l.ApplyReport(route.Load{Taken: now, Incarnation: 1, Pending: e.pending(), Total: 1 << 30}, now)
 				}
 			}
 			got := float64(tokens) / l.Offer(route.Prompt{Tokens: tokens, Deadline: start.Add(time.Hour)}, now).Prefill.Seconds()
@@ -121,7 +121,7 @@
 			if tc.placed <= 0 {
 				l.Place("a", p, taken.Add(tc.placed))
 			}
-			l.Report(route.Load{Taken: taken, Incarnation: 1, Used: tc.used, Total: total}, now)
+			l.ApplyReport(route.Load{Taken: taken, Incarnation: 1, Used: tc.used, Total: total}, now)
 			if tc.placed > 0 {
 				l.Place("a", p, now)
 			}
@@ -144,7 +144,7 @@
 	now := start
 	for range 20 {
 		now = now.Add(time.Second / 2)
-		l.Report(route.Load{Taken: now, Incarnation: 1, Pending: 100_000, Waiting: 1, Total: 1 << 30}, now)
+		l.ApplyReport(route.Load{Taken: now, Incarnation: 1, Pending: 100_000, Waiting: 1, Total: 1 << 30}, now)
 	}
 	if got := l.Offer(p, now).Prefill; got != want {
 		t.Errorf("a prompt is predicted to prefill for %v, want %v", got, want)
--- a/core/route/loadtracker.go
+++ b/core/route/loadtracker.go
@@ -11,8 +11,8 @@
 	// DefaultPrefillRate is assumed until a rate is learnt, in tokens a
 	// second.
 	DefaultPrefillRate = 40_000
-	// DefaultStep is the assumed time of a decode step.
-	DefaultStep = 20 * time.Millisecond
+	// DefaultDecodeStep is the assumed time of a decode step.
+	DefaultDecodeStep = 20 * time.Millisecond
 
 	// staleGrowth is the part by which a prediction grows for each second of
 	// age of the load report it rests on.
@@ -70,20 +70,20 @@
 	}
 }
 
-// Blocks returns the index of the engine's prefix cache.
-func (l *LoadTracker) Blocks() *Index { return l.blocks }
+// CacheIndex returns the index of the engine's prefix cache.
+func (l *LoadTracker) CacheIndex() *Index { return l.blocks }
 
 // Load returns the last report.
 func (l *LoadTracker) Load() Load { return l.load }
 
-// Open returns the number of placements whose end is not known.
-func (l *LoadTracker) Open() int { return l.placed.len() }
+// OpenPlacements returns the number of placements whose end is not known.
+func (l *LoadTracker) OpenPlacements() int { return l.placed.len() }
 
-// Free returns the memory that is not taken, in tokens. Memory counts as taken by
+// FreeTokens returns the memory that is not taken, in tokens. Memory counts as taken by
 // what the report shows and what was placed since, or by all placements if that
 // is more: one that was placed just before the report was taken may have reached
 // the engine just after.
-func (l *LoadTracker) Free() int {
+func (l *LoadTracker) FreeTokens() int {
 	newer, placed := 0, 0
 	for _, x := range l.placed.ordered {
 		placed += x.memory
@@ -115,14 +115,14 @@
 	rate := l.rate.TokensPerSecond()
 	prefill := seconds(float64(p.Tokens-cached) / rate)
 	return Offer{
-		Addr:        l.addr,
-		Incarnation: l.load.Incarnation,
-		Wait:        seconds(ahead/rate*grown) + l.rate.Overhead(),
-		Prefill:     prefill,
-		Displaced:   time.Duration(float64(displaced) * displacedWeight * float64(prefill)),
-		Cached:      cached,
-		Behind:      behind,
-		Fits:        p.Memory() <= l.Free(),
+		Addr:          l.addr,
+		Incarnation:   l.load.Incarnation,
+		Wait:          seconds(ahead/rate*grown) + l.rate.Overhead(),
+		Prefill:       prefill,
+		Displaced:     time.Duration(float64(displaced) * displacedWeight * float64(prefill)),
+		Cached:        cached,
+		FairnessDelay: behind,
+		Fits:          p.Memory() <= l.FreeTokens(),
 	}
 }
 
@@ -167,7 +167,7 @@
 }
 
 func (l *LoadTracker) cached(p Prompt) int {
-	return min(l.blocks.Cached(p.Marks)*prefix.BlockTokens, p.Tokens)
+	return min(l.blocks.Cached(p.PrefixHashes)*prefix.BlockTokens, p.Tokens)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/route/priority.go
+++ b/core/route/priority.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// LongTokens is the length from which a prompt counts as long.
-	LongTokens = 32_000
+	// LongPromptTokens is the length from which a prompt counts as long.
+	LongPromptTokens = 32_000
 
 	interactiveSlack = 600 * time.Millisecond
 	standardSlack    = 5 * time.Second
@@ -43,10 +43,10 @@
 // stretch is the time for which a prompt lets others pass for its length.
 func stretch(tokens int) time.Duration { return lengthSlack * time.Duration(tokens/1000) }
 
-// BesideGroups returns the number by which a request is compared with groups
+// PriorityAgainstGroups returns the number by which a request is compared with groups
 // that wait for memory: its priority without what it waits for its length. A
 // longer prompt lets shorter ones go first, but gives up no memory for that.
-func (p Prompt) BesideGroups() int64 { return p.Priority - stretch(p.Tokens).Milliseconds() }
+func (p Prompt) PriorityAgainstGroups() int64 { return p.Priority - stretch(p.Tokens).Milliseconds() }
 
 // GroupPriority returns the number by which a prompt that needs the memory of a
 // group of engines waits for it: the time until which it can wait, but no later
--- a/core/route/rate.go
+++ b/core/route/rate.go
@@ -24,7 +24,7 @@
 
 // NewRate returns the rate assumed of an unknown engine.
 func NewRate() Rate {
-	return Rate{perSecond: DefaultPrefillRate, overhead: DefaultStep}
+	return Rate{perSecond: DefaultPrefillRate, overhead: DefaultDecodeStep}
 }
 
 // TokensPerSecond returns the prefill rate.
--- a/core/route/report.go
+++ b/core/route/report.go
@@ -11,10 +11,10 @@
 	pending, spared, late, lateSpared float64
 }
 
-// Report takes a load report. What the report shows, and the placements do
+// ApplyReport takes a load report. What the report shows, and the placements do
 // not, has been prefilled later than estimated, or else was placed by others;
 // what the placements show, and the report does not, has been prefilled sooner.
-func (l *LoadTracker) Report(r Load, now time.Time) {
+func (l *LoadTracker) ApplyReport(r Load, now time.Time) {
 	l.drain(now)
 	if r.Incarnation != l.load.Incarnation {
 		l.placed.clear()
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -42,23 +42,23 @@
 )
 
 type (
-	// Mark is the name of one prefix of a prompt.
-	Mark struct {
+	// PrefixHash is the name of one prefix of a prompt.
+	PrefixHash struct {
 		Blocks int
-		Name   uint64
+		Hash   uint64
 	}
 
 	// Prompt is what a decision needs to know of a request.
 	Prompt struct {
-		Workspace string
-		Share     float64 // of the site, from the workspace's template
-		Model     string
-		Version   string
-		Tokens    int
-		MaxTokens int
-		Priority  int64 // lower is more urgent; see [Priority]
-		Marks     []Mark
-		Deadline  time.Time
+		Workspace    string
+		Share        float64 // of the site, from the workspace's template
+		Model        string
+		Version      string
+		Tokens       int
+		MaxTokens    int
+		Priority     int64 // lower is more urgent; see [Priority]
+		PrefixHashes []PrefixHash
+		Deadline     time.Time
 		// Reserved says that its memory has been reserved on a group of engines.
 		Reserved bool
 	}
@@ -74,11 +74,11 @@
 		Displaced time.Duration `json:"displaced"`
 		Cached    int           `json:"cached"` // tokens
 		Fits      bool          `json:"fits"`   // memory is free for it now
-		// Behind is how long the request should wait behind those of others,
+		// FairnessDelay is how long the request should wait behind those of others,
 		// since its workspace has had more than its share of the engine.
-		Behind time.Duration `json:"behind"`
-		// Held says that the engine's memory is kept for a more urgent group.
-		Held bool `json:"held,omitempty"`
+		FairnessDelay time.Duration `json:"behind"`
+		// BlockedByGroup says that the engine's memory is kept for a more urgent group.
+		BlockedByGroup bool `json:"held,omitempty"`
 		// Ejected says that attempts on the engine failed lately.
 		Ejected bool `json:"ejected,omitempty"`
 	}
@@ -111,14 +111,14 @@
 }
 
 // Long reports whether the prompt counts as long.
-func (p Prompt) Long() bool { return p.Tokens >= LongTokens }
+func (p Prompt) Long() bool { return p.Tokens >= LongPromptTokens }
 
-// NewMarks returns the marks of a chain of block names.
-func NewMarks(chain []uint64) []Mark {
+// NewPrefixHashes returns the marks of a chain of block names.
+func NewPrefixHashes(chain []uint64) []PrefixHash {
 	ns := prefix.Marks(len(chain))
-	ms := make([]Mark, len(ns))
+	ms := make([]PrefixHash, len(ns))
 	for i, n := range ns {
-		ms[i] = Mark{Blocks: n, Name: chain[n-1]}
+		ms[i] = PrefixHash{Blocks: n, Hash: chain[n-1]}
 	}
 	return ms
 }
@@ -134,12 +134,12 @@
 	return p
 }
 
-// Total returns the predicted time to first token.
-func (o Offer) Total() time.Duration { return o.Wait + o.Prefill }
+// TimeToFirstToken returns the predicted time to first token.
+func (o Offer) TimeToFirstToken() time.Duration { return o.Wait + o.Prefill }
 
-// Needs returns the time that the whole answer may need: the wait with a
+// TimeToComplete returns the time that the whole answer may need: the wait with a
 // margin, since more urgent work may still come, the prefill, and the decode.
-func (o Offer) Needs(p Prompt) time.Duration {
+func (o Offer) TimeToComplete(p Prompt) time.Duration {
 	wait := time.Duration(waitMargin * float64(o.Wait))
 	return wait + o.Prefill + answerTime(p)
 }
@@ -151,7 +151,7 @@
 
 // Cost returns what is compared between offers: the time to first token, and
 // the delay that others get.
-func (o Offer) Cost() time.Duration { return o.Total() + o.Displaced }
+func (o Offer) Cost() time.Duration { return o.TimeToFirstToken() + o.Displaced }
 
 // Choose returns the offer with the least cost.
 // An engine that is not ejected goes before one that is, one that is not held
@@ -167,7 +167,7 @@
 	}
 	slices.SortFunc(d.Offers, better)
 	best := d.Offers[0]
-	if !p.Deadline.IsZero() && best.Needs(p) > p.Deadline.Sub(now) {
+	if !p.Deadline.IsZero() && best.TimeToComplete(p) > p.Deadline.Sub(now) {
 		d.Reason = "no engine can start it within its time"
 		return best, d, false
 	}
@@ -176,11 +176,11 @@
 	return best, d, true
 }
 
-// Waits reports whether the choice only led to waiting for a group.
-func (d Decision) Waits() bool { return len(d.Offers) > 0 && d.Offers[0].Held }
+// WaitsForGroup reports whether the choice only led to waiting for a group.
+func (d Decision) WaitsForGroup() bool { return len(d.Offers) > 0 && d.Offers[0].BlockedByGroup }
 
 func better(a, b Offer) int {
-	return cmp.Or(first(!a.Ejected, !b.Ejected), first(!a.Held, !b.Held), first(a.Fits, b.Fits),
+	return cmp.Or(first(!a.Ejected, !b.Ejected), first(!a.BlockedByGroup, !b.BlockedByGroup), first(a.Fits, b.Fits),
 		cmp.Compare(a.Cost(), b.Cost()), cmp.Compare(a.Addr, b.Addr))
 }
 
@@ -199,7 +199,7 @@
 func reason(sorted []Offer) string {
 	best := sorted[0]
 	switch {
-	case best.Held:
+	case best.BlockedByGroup:
 		return "waits, since all memory is kept for a more urgent group"
 	case len(sorted) == 1:
 		return "the only engine that offered"
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -118,7 +118,7 @@
 					want = max(want, m)
 				}
 			}
-			return x.Cached(route.NewMarks(chain)) == want
+			return x.Cached(route.NewPrefixHashes(chain)) == want
 		}, gen.IntRange(0, 300), gen.IntRange(0, 300)))
 	})
 }
@@ -126,25 +126,25 @@
 func TestIndexTrust(t *testing.T) {
 	chain := []uint64{1, 2, 3, 4}
 	x := route.NewIndex()
-	if x.Trusted() {
+	if x.InSync() {
 		t.Error("an index that was never synced is trusted")
 	}
 	x.Resync(chain, 4)
-	if got := x.Cached(route.NewMarks(chain)); got != 4 {
+	if got := x.Cached(route.NewPrefixHashes(chain)); got != 4 {
 		t.Errorf("cached %d, want 4", got)
 	}
 	x.Add(6, 9) // event 5 was lost
-	if x.Trusted() {
+	if x.InSync() {
 		t.Error("trusted after a gap")
 	}
-	if got := x.Cached(route.NewMarks(chain)); got != 2 {
+	if got := x.Cached(route.NewPrefixHashes(chain)); got != 2 {
 		t.Errorf("untrusted, cached %d, want half", got)
 	}
 	x.Resync(chain[:2], 7)
 	x.Evict(8, 2)
 	x.Evict(8, 1) // a repeat of an old number
-	if got := x.Cached(route.NewMarks(chain)); !x.Trusted() || got != 1 {
-		t.Errorf("after the resync: trusted %v, cached %d, want 1", x.Trusted(), got)
+	if got := x.Cached(route.NewPrefixHashes(chain)); !x.InSync() || got != 1 {
+		t.Errorf("after the resync: trusted %v, cached %d, want 1", x.InSync(), got)
 	}
 }
 
@@ -209,7 +209,7 @@
 		t.Run(name, func(t *testing.T) {
 			deadline := start.Add(time.Hour)
 			p := route.Prompt{Tokens: tc.tokens, Priority: route.Priority(tc.urgency, tc.tokens, start, deadline)}
-			if got := p.BesideGroups() > group; got != tc.held {
+			if got := p.PriorityAgainstGroups() > group; got != tc.held {
 				t.Errorf("it is held back: %v, want %v", got, tc.held)
 			}
 		})
@@ -240,7 +240,7 @@
 
 func tracker(pending int) *route.LoadTracker {
 	l := route.NewLoadTracker("e", start)
-	l.Report(route.Load{Taken: start, Incarnation: 1, Pending: pending, Total: 100_000}, start)
+	l.ApplyReport(route.Load{Taken: start, Incarnation: 1, Pending: pending, Total: 100_000}, start)
 	return l
 }
 
@@ -258,25 +258,25 @@
 		"patient work is not":  {func(l *route.LoadTracker) { l.Place("a", patient, start) }, urgent, 0},
 		"ended work is not":    {func(l *route.LoadTracker) { l.Place("a", urgent, start); l.Finish("a", 0, start) }, patient, 0},
 		"others' work, from reports": {func(l *route.LoadTracker) {
-			l.Report(route.Load{Taken: start, Incarnation: 1, Pending: 8000, Total: 1}, start)
+			l.ApplyReport(route.Load{Taken: start, Incarnation: 1, Pending: 8000, Total: 1}, start)
 		}, urgent, 200 * time.Millisecond},
 		"not counted twice": {func(l *route.LoadTracker) {
 			l.Place("a", urgent, start)
-			l.Report(route.Load{Taken: start, Incarnation: 1, Pending: 4000, Total: 1}, start)
+			l.ApplyReport(route.Load{Taken: start, Incarnation: 1, Pending: 4000, Total: 1}, start)
 		}, patient, 100 * time.Millisecond},
 		"done sooner, says the report": {func(l *route.LoadTracker) {
 			l.Place("a", urgent, start)
-			l.Report(route.Load{Taken: start, Incarnation: 1, Pending: 0, Total: 1}, start)
+			l.ApplyReport(route.Load{Taken: start, Incarnation: 1, Pending: 0, Total: 1}, start)
 		}, patient, 0},
 		"forgotten with the engine": {func(l *route.LoadTracker) {
 			l.Place("a", urgent, start)
-			l.Report(route.Load{Taken: start, Incarnation: 2, Total: 1}, start)
+			l.ApplyReport(route.Load{Taken: start, Incarnation: 2, Total: 1}, start)
 		}, patient, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := tracker(0)
 			tc.do(l)
-			if got := l.Offer(tc.ask, start).Wait - route.DefaultStep; got != tc.want {
+			if got := l.Offer(tc.ask, start).Wait - route.DefaultDecodeStep; got != tc.want {
 				t.Errorf("wait %v, want %v", got, tc.want)
 			}
 		})
@@ -289,7 +289,7 @@
 	before := l.Offer(ask, start).Prefill
 	now, pending := start, 500_000
 	for range 30 { // the engine prefills 10,000 tokens a second, a quarter of what is assumed
-		l.Report(route.Load{Taken: now, Incarnation: 1, Pending: pending, Total: 1}, now)
+		l.ApplyReport(route.Load{Taken: now, Incarnation: 1, Pending: pending, Total: 1}, now)
 		now, pending = now.Add(time.Second), pending-10_000
 	}
 	if after := l.Offer(ask, now).Prefill; after < 3*before {
@@ -301,7 +301,7 @@
 	l := tracker(0)
 	l.Place("a", route.Prompt{Tokens: 100, Deadline: start.Add(time.Second)}, start)
 	l.Offer(route.Prompt{}, start.Add(2*time.Second))
-	if l.Open() != 0 {
+	if l.OpenPlacements() != 0 {
 		t.Error("a placement outlives its request's deadline")
 	}
 }
--- a/daemon/control/owned.go
+++ b/daemon/control/owned.go
@@ -73,8 +73,8 @@
 		}
 		if !o.polling {
 			o.polling = true
-			x := o.load.Blocks()
-			out = append(out, EnginePoll{Addr: addr, After: x.Number(), Resync: !x.Trusted()})
+			x := o.load.CacheIndex()
+			out = append(out, EnginePoll{Addr: addr, After: x.LastEvent(), Resync: !x.InSync()})
 		}
 	}
 	return out
@@ -124,7 +124,7 @@
 	}
 	o.missed, o.known = 0, true
 	r := p.Report
-	o.load.Report(route.Load{
+	o.load.ApplyReport(route.Load{
 		Taken:       s.now().Add(-r.Age),
 		Incarnation: r.Incarnation,
 		Pending:     r.PendingTokens,
@@ -166,9 +166,9 @@
 }
 
 func takeEvents(o *ownedEngine, p Poll) {
-	x := o.load.Blocks()
+	x := o.load.CacheIndex()
 	if p.Resync {
-		if x.Number() > 0 {
+		if x.LastEvent() > 0 {
 			event.CacheResync.Info("engine", p.Addr, "blocks", len(p.Page.Blocks))
 		}
 		x.Resync(p.Page.Blocks, p.Page.Number)
@@ -220,10 +220,10 @@
 		return route.Offer{}, false
 	}
 	now := s.offer(o, p)
-	if !p.Reserved && float64(now.Total()) > worse*float64(offered.Total())+float64(slack) {
+	if !p.Reserved && float64(now.TimeToFirstToken()) > worse*float64(offered.TimeToFirstToken())+float64(slack) {
 		return now, false
 	}
-	now.Behind = o.load.Place(attempt, p, s.now())
+	now.FairnessDelay = o.load.Place(attempt, p, s.now())
 	return now, true
 }
 
@@ -231,7 +231,7 @@
 func (s *State) offer(o *ownedEngine, p route.Prompt) route.Offer {
 	x := o.load.Offer(p, s.now())
 	x.Ejected = o.health.Ejected(s.now())
-	x.Held = o.groups.Holds(p.BesideGroups(), p.Memory(), o.record.TotalTokens, s.now())
+	x.BlockedByGroup = o.groups.Holds(p.PriorityAgainstGroups(), p.Memory(), o.record.TotalTokens, s.now())
 	return x
 }
 
@@ -248,7 +248,7 @@
 	}
 	t := group.Turn{Ahead: o.groups.Wait(id, priority, s.now())}
 	if o.known && o.record.Status == directory.Up {
-		t.Free, t.Total = max(0, o.load.Free()), o.record.TotalTokens
+		t.Free, t.Total = max(0, o.load.FreeTokens()), o.record.TotalTokens
 	}
 	return t
 }
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -166,15 +166,15 @@
 
 func promptOf(r Request) route.Prompt {
 	return route.Prompt{
-		Workspace: r.Workspace.Workspace,
-		Share:     r.Workspace.Share.NewSite,
-		Model:     r.Model.Name,
-		Version:   r.Model.Version,
-		Tokens:    r.Tokens,
-		MaxTokens: r.MaxTokens,
-		Priority:  route.Priority(r.Workspace.Urgency, r.Tokens, r.Arrival, r.Deadline),
-		Marks:     route.NewMarks(r.Chain),
-		Deadline:  r.Deadline,
+		Workspace:    r.Workspace.Workspace,
+		Share:        r.Workspace.Share.NewSite,
+		Model:        r.Model.Name,
+		Version:      r.Model.Version,
+		Tokens:       r.Tokens,
+		MaxTokens:    r.MaxTokens,
+		Priority:     route.Priority(r.Workspace.Urgency, r.Tokens, r.Arrival, r.Deadline),
+		PrefixHashes: route.NewPrefixHashes(r.Chain),
+		Deadline:     r.Deadline,
 	}
 }
 
--- a/daemon/dispatch/large.go
+++ b/daemon/dispatch/large.go
@@ -110,7 +110,7 @@
 	v := x.loop.View()
 	o := route.Offer{Addr: lead, Incarnation: v.Incarnation(lead)}
 	if now, ok := x.placed(ctx, v, attempt, o, x.prompt.WithReserved()); ok {
-		o.Behind = now.Behind
+		o.FairnessDelay = now.FairnessDelay
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/daemon/dispatch/place.go
+++ b/daemon/dispatch/place.go
@@ -47,7 +47,7 @@
 	for n := 1; err == nil; n++ {
 		now, ok := x.placed(ctx, x.loop.View(), attempt, best, x.prompt)
 		if ok {
-			best.Behind = now.Behind
+			best.FairnessDelay = now.FairnessDelay
 		}
 		if ok || n == placements {
 			return best, nil
@@ -70,7 +70,7 @@
 		if !ok {
 			return route.Offer{}, x.refused(best, len(offers))
 		}
-		if !best.Held || time.Now().After(x.heldUntil) {
+		if !best.BlockedByGroup || time.Now().After(x.heldUntil) {
 			return best, nil
 		}
 		if err := pause.UpTo(ctx, heldPause); err != nil {
@@ -82,7 +82,7 @@
 // explainChoice adds a choice to the record of the request, in the place of one
 // that only led to waiting.
 func (x *run) explainChoice(a Attempt) {
-	if n := len(x.record.Attempts); n > 0 && x.record.Attempts[n-1].Attempt == a.Attempt && x.record.Attempts[n-1].Decision.Waits() {
+	if n := len(x.record.Attempts); n > 0 && x.record.Attempts[n-1].Attempt == a.Attempt && x.record.Attempts[n-1].Decision.WaitsForGroup() {
 		x.record.Attempts = x.record.Attempts[:n-1]
 	}
 	x.record.Attempts = append(x.record.Attempts, a)
@@ -183,7 +183,7 @@
 		}
 		now := time.Now()
 		l := route.NewLoadTracker(addr, now)
-		l.Report(route.Load{
+		l.ApplyReport(route.Load{
 			Taken: now.Add(-r.Age), Incarnation: r.Incarnation,
 			Pending: r.PendingTokens, Waiting: r.Waiting, Used: r.UsedTokens, Total: r.TotalTokens,
 		}, now)
@@ -216,7 +216,7 @@
 		return fault.Newf(fault.NoEngine, "ask again, or see slipcrank engines for what is loaded where",
 			"no live engine holds model %s in version %s", x.prompt.Model, x.prompt.Version).WithRetryAfter(time.Second)
 	}
-	late := best.Total() - time.Until(x.prompt.Deadline)
+	late := best.TimeToFirstToken() - time.Until(x.prompt.Deadline)
 	return fault.New(fault.Overloaded, "no engine can start the request within its time",
 		"ask again after Retry-After, or give it more time").WithRetryAfter(max(late, time.Second))
 }
--- a/daemon/dispatch/stream.go
+++ b/daemon/dispatch/stream.go
@@ -22,7 +22,7 @@
 		Request:  x.request.ID,
 		Attempt:  attempt,
 		Version:  x.request.Model.Version,
-		Priority: x.prompt.WithDelay(o.Behind).Priority,
+		Priority: x.prompt.WithDelay(o.FairnessDelay).Priority,
 		Resume:   x.offset,
 		Holds:    x.holding,
 		Deadline: x.request.Deadline,
--- a/daemon/dispatch/suspects.go
+++ b/daemon/dispatch/suspects.go
@@ -192,7 +192,7 @@
 	o := route.Offer{Addr: addr, Incarnation: v.Incarnation(addr)}
 	x.explainChoice(Attempt{Attempt: attempt, Decision: route.Decision{Chosen: addr, Reason: "an engine has ended under the request"}})
 	if now, ok := x.placed(ctx, v, attempt, o, x.prompt); ok {
-		o.Behind = now.Behind
+		o.FairnessDelay = now.FairnessDelay
 	}
 	return o
 }
--- a/daemon/peers/convert.go
+++ b/daemon/peers/convert.go
@@ -100,8 +100,8 @@
 		Reserved:      p.Reserved,
 		BudgetMs:      uint32(max(0, p.Deadline.Sub(now).Milliseconds())),
 	}
-	for _, m := range p.Marks {
-		w.Marks = append(w.Marks, m.Name)
+	for _, m := range p.PrefixHashes {
+		w.Marks = append(w.Marks, m.Hash)
 		w.Blocks = uint32(m.Blocks) // that of the last one
 	}
 	return w
@@ -122,7 +122,7 @@
 	names := w.GetMarks()
 	for i, n := range prefix.Marks(int(w.GetBlocks())) {
 		if i < len(names) {
-			p.Marks = append(p.Marks, route.Mark{Blocks: n, Name: names[i]})
+			p.PrefixHashes = append(p.PrefixHashes, route.PrefixHash{Blocks: n, Hash: names[i]})
 		}
 	}
 	return p
@@ -134,27 +134,27 @@
 		Incarnation:  o.Incarnation,
 		WaitMs:       uint32(o.Wait.Milliseconds()),
 		PrefillMs:    uint32(o.Prefill.Milliseconds()),
-		BehindMs:     uint32(o.Behind.Milliseconds()),
+		BehindMs:     uint32(o.FairnessDelay.Milliseconds()),
 		DisplacedMs:  uint32(o.Displaced.Milliseconds()),
 		CachedTokens: uint32(o.Cached),
 		Fits:         o.Fits,
 		Ejected:      o.Ejected,
-		Held:         o.Held,
+		Held:         o.BlockedByGroup,
 	}
 }
 
 func offerFromWire(w *wire.Offer) route.Offer {
 	return route.Offer{
-		Addr:        w.GetAddr(),
-		Incarnation: w.GetIncarnation(),
-		Wait:        time.Duration(w.GetWaitMs()) * time.Millisecond,
-		Prefill:     time.Duration(w.GetPrefillMs()) * time.Millisecond,
-		Behind:      time.Duration(w.GetBehindMs()) * time.Millisecond,
-		Displaced:   time.Duration(w.GetDisplacedMs()) * time.Millisecond,
-		Cached:      int(w.GetCachedTokens()),
-		Fits:        w.GetFits(),
-		Ejected:     w.GetEjected(),
-		Held:        w.GetHeld(),
+		Addr:           w.GetAddr(),
+		Incarnation:    w.GetIncarnation(),
+		Wait:           time.Duration(w.GetWaitMs()) * time.Millisecond,
+		Prefill:        time.Duration(w.GetPrefillMs()) * time.Millisecond,
+		FairnessDelay:  time.Duration(w.GetBehindMs()) * time.Millisecond,
+		Displaced:      time.Duration(w.GetDisplacedMs()) * time.Millisecond,
+		Cached:         int(w.GetCachedTokens()),
+		Fits:           w.GetFits(),
+		Ejected:        w.GetEjected(),
+		BlockedByGroup: w.GetHeld(),
 	}
 }
 
--- a/daemon/peers/rpc.go
+++ b/daemon/peers/rpc.go
@@ -105,7 +105,7 @@
 		Addr:        o.Addr,
 		Incarnation: o.Incarnation,
 		Prompt:      promptToWire(q, time.Now()),
-		ExpectedMs:  uint32(o.Total().Milliseconds()),
+		ExpectedMs:  uint32(o.TimeToFirstToken().Milliseconds()),
 	})
 	if err != nil {
 		return route.Offer{}, false, err
