--- a/core/route/health.go
+++ b/core/route/health.go
@@ -3,16 +3,18 @@
 import "time"
 
 const (
-	// failuresToEject is how many attempts in a row may fail.
+	// failuresToEject is the number of consecutive failed attempts after
+	// which an engine is ejected.
 	failuresToEject = 2
-	firstEjection   = 2 * time.Second
-	longestEjection = 30 * time.Second
+	initialEjection = 2 * time.Second
+	maxEjection     = 30 * time.Second
 )
 
-// Health of an engine, from the attempts on it: an immutable value. An engine
-// that fails attempts in a row is ejected for a time that doubles while it
-// goes on failing. Offers of ejected engines are used only if there is no
-// other, so that ejection can never take the last engine.
+// Health is the state of an engine as derived from the attempts on it. It is
+// an immutable value. An engine that fails several consecutive attempts is
+// ejected for a period that doubles with each further failure. Offers of
+// ejected engines are used only if there are no others, so ejection never
+// removes the last engine.
 type Health struct {
 	failures int
 	until    time.Time
@@ -24,13 +26,13 @@
 	if h.failures < failuresToEject {
 		return h
 	}
-	d := firstEjection << min(h.failures-failuresToEject, 10)
-	h.until = now.Add(min(d, longestEjection))
+	d := initialEjection << min(h.failures-failuresToEject, 10)
+	h.until = now.Add(min(d, maxEjection))
 	return h
 }
 
-// Succeed returns h after an attempt that the engine served.
+// Succeed returns h after a successful attempt.
 func (h Health) Succeed() Health { return Health{} }
 
-// Ejected reports whether the engine is to be passed over.
+// Ejected reports whether the engine is ejected at the given time.
 func (h Health) Ejected(now time.Time) bool { return now.Before(h.until) }
--- a/core/route/index.go
+++ b/core/route/index.go
@@ -2,91 +2,96 @@
 
 import "sort"
 
-// maxBlocks bounds the index of one engine: at 256 tokens a block, enough
-// for 16 million tokens of cache.
+// maxBlocks bounds the index of one engine. At 256 tokens per block, it covers
+// 16 million tokens of cache.
 const maxBlocks = 1 << 16
 
-// Index is what is known of one engine's prefix cache, from events that come
-// late and with gaps. One goroutine owns it.
+// Index tracks which blocks are in one engine's prefix cache, from events that
+// arrive late and with gaps. It is not safe for concurrent use.
 type Index struct {
-	blocks map[uint64]struct{}
-	number uint64
-	trust  bool
+	blocks    map[uint64]struct{}
+	lastEvent uint64
+	inSync    bool
 }
 
-// NewIndex returns an empty index that asks for a resync.
+// NewIndex returns an empty index that is not in sync.
 func NewIndex() *Index { return &Index{blocks: map[uint64]struct{}{}} }
 
-// Reset forgets everything, for an engine that has restarted.
+// Reset empties the index after a restart of the engine.
 func (x *Index) Reset() {
 	clear(x.blocks)
-	x.number, x.trust = 0, false
+	x.lastEvent, x.inSync = 0, false
 }
 
-// LastEvent returns the number of the last event taken.
-func (x *Index) LastEvent() uint64 { return x.number }
+// LastEvent returns the number of the last event that was applied.
+func (x *Index) LastEvent() uint64 { return x.lastEvent }
 
-// InSync reports whether no event was missed since the last resync.
-func (x *Index) InSync() bool { return x.trust }
+// InSync reports whether there was a resync and no event was missed since.
+func (x *Index) InSync() bool { return x.inSync }
 
-// Len returns the number of blocks known.
+// Len returns the number of blocks in the index.
 func (x *Index) Len() int { return len(x.blocks) }
 
-// Resync replaces the index by the whole cache as of an event number.
+// Resync replaces the contents of the index by the whole cache as of the event
+// with the given number.
 func (x *Index) Resync(blocks []uint64, number uint64) {
 	clear(x.blocks)
 	for _, b := range blocks {
-		x.put(b)
+		x.insert(b)
 	}
-	x.number, x.trust = number, true
+	x.lastEvent, x.inSync = number, true
 }
 
-// Add takes one event: a block was cached. A gap in the numbers ends the
-// trust in the index.
+// Add applies the event that a block was cached. Events with numbers that were
+// applied already are ignored; after a gap in the numbers, the index is no
+// longer in sync.
 func (x *Index) Add(number, block uint64) {
-	if x.step(number) {
-		x.put(block)
+	if x.advance(number) {
+		x.insert(block)
 	}
 }
 
-// Evict takes one event: a block was dropped.
+// Evict applies the event that a block was evicted. It treats event numbers as
+// [Index.Add] does.
 func (x *Index) Evict(number, block uint64) {
-	if x.step(number) {
+	if x.advance(number) {
 		delete(x.blocks, block)
 	}
 }
 
-func (x *Index) step(number uint64) bool {
-	if number <= x.number {
+// advance records the number of an event, and reports whether the event is new.
+func (x *Index) advance(number uint64) bool {
+	if number <= x.lastEvent {
 		return false
 	}
-	if number != x.number+1 {
-		x.trust = false
+	if number != x.lastEvent+1 {
+		x.inSync = false
 	}
-	x.number = number
+	x.lastEvent = number
 	return true
 }
 
-func (x *Index) put(b uint64) {
+func (x *Index) insert(b uint64) {
 	if len(x.blocks) < maxBlocks {
 		x.blocks[b] = struct{}{}
 	}
 }
 
-// Cached returns the longest marked prefix that is cached, in blocks. A
-// cached block implies the blocks before it, so a binary search finds it.
-// While the index is not trusted it claims half of that, since what it shows
-// may have been evicted.
-func (x *Index) Cached(ms []PrefixHash) int {
-	i := sort.Search(len(ms), func(i int) bool {
-		_, ok := x.blocks[ms[i].Hash]
+// Cached returns the length, in blocks, of the longest of the given prefixes
+// that is cached. The prefixes must be in rising order of length. A cached
+// block implies that the blocks before it are cached, so a binary search
+// suffices. While the index is not in sync, Cached returns half of the length,
+// since the blocks may have been evicted.
+func (x *Index) Cached(hs []PrefixHash) int {
+	i := sort.Search(len(hs), func(i int) bool {
+		_, ok := x.blocks[hs[i].Hash]
 		return !ok
 	})
 	if i == 0 {
 		return 0
 	}
-	n := ms[i-1].Blocks
-	if !x.trust {
+	n := hs[i-1].Blocks
+	if !x.inSync {
 		return n / 2
 	}
 	return n
--- a/core/route/learn_test.go
+++ b/core/route/learn_test.go
@@ -9,14 +9,14 @@
 	"slipcrank.example/core/route"
 )
 
-// fifo is a plain engine that prefills one prompt after another. As engines do,
-// it finds out what is cached of a prompt only when it begins with it.
-type fifo struct {
-	rate    float64
-	cached  int
-	waiting []job
-	left    float64 // of the prompt that it is at
-	current string
+// fifoEngine simulates an engine that prefills one prompt after another. Like a
+// real engine, it looks a prompt up in its cache only when it starts on it.
+type fifoEngine struct {
+	rate      float64
+	cached    int
+	waiting   []job
+	remaining float64 // tokens of the current prompt
+	current   string
 }
 
 type job struct {
@@ -24,20 +24,20 @@
 	tokens  int
 }
 
-// run goes on for a second times part, and returns the attempts that ended.
-func (f *fifo) run(part float64) []string {
+// runFor prefills for a number of seconds, and returns the attempts that ended.
+func (f *fifoEngine) runFor(seconds float64) []string {
 	var ended []string
-	for budget := f.rate * part; budget > 0; {
+	for budget := f.rate * seconds; budget > 0; {
 		if f.current == "" {
 			if len(f.waiting) == 0 {
 				return ended
 			}
-			f.current, f.left = f.waiting[0].attempt, float64(f.waiting[0].tokens-f.cached)
+			f.current, f.remaining = f.waiting[0].attempt, float64(f.waiting[0].tokens-f.cached)
 			f.waiting = f.waiting[1:]
 		}
-		n := min(budget, f.left)
+		n := min(budget, f.remaining)
 		budget -= n
-		if f.left -= n; f.left <= 0 {
+		if f.remaining -= n; f.remaining <= 0 {
 			ended = append(ended, f.current)
 			f.current = ""
 		}
@@ -45,18 +45,18 @@
 	return ended
 }
 
-func (f *fifo) pending() int {
-	n := f.left
+func (f *fifoEngine) pending() int {
+	n := f.remaining
 	for _, j := range f.waiting {
 		n += float64(j.tokens)
 	}
 	return int(n)
 }
 
-// TestRateIsLearntUnderOverload places prompts on an engine that has the
-// beginning of each in its cache.
-func TestRateIsLearntUnderOverload(t *testing.T) {
-	const tokens, blocks, rate, seconds, slices = 2200, 4, 20_000, 40, 100
+// TestRateEstimateUnderOverload places prompts on an engine that has the first
+// blocks of each in its cache.
+func TestRateEstimateUnderOverload(t *testing.T) {
+	const tokens, blocks, rate, seconds, stepsPerSecond = 2200, 4, 20_000, 40, 100
 	chain := make([]uint64, tokens/prefix.BlockTokens)
 	for i := range chain {
 		chain[i] = uint64(i + 1)
@@ -65,41 +65,41 @@
 		t.Run(name, func(t *testing.T) {
 			l := tracker(0)
 			l.CacheIndex().Resync(chain[:blocks], blocks)
-			e := &fifo{rate: rate, cached: blocks * prefix.BlockTokens}
+			e := &fifoEngine{rate: rate, cached: blocks * prefix.BlockTokens}
 			ask := route.Prompt{
 				Workspace: "till", Share: 1, Tokens: tokens, PrefixHashes: route.NewPrefixHashes(chain), Deadline: start.Add(time.Hour),
 			}
 			now, arrived := start, 0
-			for i := range seconds * slices {
-				now = start.Add(time.Duration(i) * time.Second / slices)
-				for ; arrived < perSecond*(i+1)/slices; arrived++ {
+			for i := range seconds * stepsPerSecond {
+				now = start.Add(time.Duration(i) * time.Second / stepsPerSecond)
+				for ; arrived < perSecond*(i+1)/stepsPerSecond; arrived++ {
 					id := fmt.Sprint(arrived)
 					ask.Priority = now.UnixMilli()
 					l.Place(id, ask, now)
 					e.waiting = append(e.waiting, job{id, tokens})
 				}
-				for _, id := range e.run(1.0 / slices) {
+				for _, id := range e.runFor(1.0 / stepsPerSecond) {
 					l.Finish(id, 0, now)
 				}
-				if i%(slices/2) == 0 {
+				if i%(stepsPerSecond/2) == 0 {
 					l.ApplyReport(route.Load{Taken: now, Incarnation: 1, Pending: e.pending(), Total: 1 << 30}, now)
 				}
 			}
 			got := float64(tokens) / l.Offer(route.Prompt{Tokens: tokens, Deadline: start.Add(time.Hour)}, now).Prefill.Seconds()
 			if got < rate/1.5 || got > rate*1.5 {
-				t.Errorf("the rate is learnt as %.0f tokens/s, the engine does %d", got, rate)
+				t.Errorf("estimated rate %.0f tokens/s, actual rate %d tokens/s", got, rate)
 			}
-			// What waits is behind a request that is more urgent than all.
+			// All queued requests are less urgent than this one.
 			if w := l.Offer(route.Prompt{Tokens: tokens, Deadline: start.Add(time.Hour)}, now).Wait; w > 500*time.Millisecond {
-				t.Errorf("the most urgent request is predicted to wait %v", w)
+				t.Errorf("predicted wait of the most urgent request is %v, want at most 500ms", w)
 			}
 		})
 	}
 }
 
-// TestFitsCountsWhatIsOnItsWay has placements that an engine's report may or may
-// not show yet.
-func TestFitsCountsWhatIsOnItsWay(t *testing.T) {
+// TestFitsCountsPlacementsMissingFromReport covers placements that the engine's
+// report may not include yet.
+func TestFitsCountsPlacementsMissingFromReport(t *testing.T) {
 	const total, each = 100_000, 60_000
 	for name, tc := range map[string]struct {
 		placed time.Duration // after the report was taken
@@ -107,11 +107,11 @@
 		ended  bool
 		fits   bool
 	}{
-		"nothing there":                      {ended: true, fits: true},
-		"in the report":                      {placed: -time.Second, used: each},
-		"placed after the report":            {placed: time.Millisecond},
-		"placed before, not yet arrived":     {placed: -time.Millisecond},
-		"ended, and the report shows it yet": {placed: -time.Second, used: each, ended: true},
+		"no placement":                          {ended: true, fits: true},
+		"included in the report":                {placed: -time.Second, used: each},
+		"placed after the report":               {placed: time.Millisecond},
+		"placed before the report, not arrived": {placed: -time.Millisecond},
+		"ended, still included in the report":   {placed: -time.Second, used: each, ended: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := tracker(0)
@@ -135,9 +135,9 @@
 	}
 }
 
-// TestBlockedEngineTeachesNoRate has an engine that has prefilled what it runs,
-// and keeps a prompt waiting since its memory is taken.
-func TestBlockedEngineTeachesNoRate(t *testing.T) {
+// TestRateUnchangedWhileRequestsWait reports pending tokens that do not decrease
+// because the request waits for memory, which must not lower the estimated rate.
+func TestRateUnchangedWhileRequestsWait(t *testing.T) {
 	l := tracker(0)
 	p := route.Prompt{Tokens: 100_000, Deadline: start.Add(time.Hour)}
 	want := l.Offer(p, start).Prefill
@@ -147,6 +147,6 @@
 		l.ApplyReport(route.Load{Taken: now, Incarnation: 1, Pending: 100_000, Waiting: 1, Total: 1 << 30}, now)
 	}
 	if got := l.Offer(p, now).Prefill; got != want {
-		t.Errorf("a prompt is predicted to prefill for %v, want %v", got, want)
+		t.Errorf("predicted prefill %v, want %v", got, want)
 	}
 }
--- a/core/route/loadtracker.go
+++ b/core/route/loadtracker.go
@@ -8,65 +8,70 @@
 )
 
 const (
-	// DefaultPrefillRate is assumed until a rate is learnt, in tokens a
-	// second.
+	// DefaultPrefillRate is the prefill rate, in tokens per second, that is
+	// assumed until there are observations.
 	DefaultPrefillRate = 40_000
-	// DefaultDecodeStep is the assumed time of a decode step.
+	// DefaultDecodeStep is the assumed duration of a decode step.
 	DefaultDecodeStep = 20 * time.Millisecond
 
-	// staleGrowth is the part by which a prediction grows for each second of
-	// age of the load report it rests on.
-	staleGrowth = 0.1
-	// leastSpan is the least time between two reports that teach a rate.
-	leastSpan = 100 * time.Millisecond
-	// maxStale bounds that growth.
-	maxStale = 2.0
-	// displacedWeight is what a delay of less urgent work counts against a
-	// delay of the request itself.
+	// staleGrowthPerSecond is the fraction by which a predicted wait grows for
+	// each second of age of the load report.
+	staleGrowthPerSecond = 0.1
+	// minLearnSpan is the minimum time between two reports from which the rate
+	// is estimated.
+	minLearnSpan = 100 * time.Millisecond
+	// maxStaleGrowth is the maximum fraction by which a predicted wait grows
+	// because of the age of the load report.
+	maxStaleGrowth = 2.0
+	// displacedWeight is the weight of a delay of less urgent work, relative to
+	// a delay of the request itself.
 	displacedWeight = 0.5
-	// placementLife is how long a placement counts whose end is never told.
-	placementLife = 10 * time.Minute
+	// placementTTL is the time after which a placement without a deadline
+	// expires if its end is not reported.
+	placementTTL = 10 * time.Minute
 )
 
 type (
-	// Load is a load report, as the owner uses it.
+	// Load is a load report of an engine.
 	Load struct {
 		Taken       time.Time
 		Incarnation uint64
-		Pending     int // prompt tokens that wait for prefill
-		Waiting     int // requests that the engine has not begun with
-		Used        int // KV memory in use, tokens
-		Total       int // KV memory in all, tokens
+		Pending     int // prompt tokens still to be prefilled
+		Waiting     int // requests that the engine has not started
+		Used        int // KV memory in use, in tokens
+		Total       int // KV memory in total, in tokens
 	}
 
-	// LoadTracker is what the owner of one engine knows of its load: the last
-	// report, and what was placed on it. One goroutine owns it.
+	// LoadTracker tracks the load of one engine for its owner, from the
+	// engine's last report and from the placements on it. It is not safe for
+	// concurrent use.
 	LoadTracker struct {
-		addr    string
-		load    Load
-		placed  *placements
-		foreign float64 // pending tokens that the report has and placed lacks
-		rate    Rate
-		blocks  *Index
-		shares  *limit.Shares
-		drained time.Time
-		arrived float64 // prompt tokens placed since the last report was taken
-		// spared is what of them, and of the prompts that the last report counts
-		// as waiting, the engine will find in its cache.
-		spared float64
+		addr         string
+		load         Load
+		placed       *placements
+		unattributed float64 // pending tokens in the report beyond those of placed
+		rate         Rate
+		blocks       *Index
+		shares       *limit.Shares
+		drainedAt    time.Time
+		arrived      float64 // prompt tokens placed since the last report was taken
+		// expectedCached is the number of prompt tokens that the engine is
+		// expected to find in its cache, of those in arrived and of the prompts
+		// in the last report that it has not started.
+		expectedCached float64
 	}
 )
 
-// NewLoadTracker returns the tracker of the engine at addr, which knows nothing
-// yet.
+// NewLoadTracker returns a tracker for the engine at addr, without any report
+// or placement.
 func NewLoadTracker(addr string, now time.Time) *LoadTracker {
 	return &LoadTracker{
-		addr:    addr,
-		placed:  newPlacements(),
-		rate:    NewRate(),
-		blocks:  NewIndex(),
-		shares:  limit.NewShares(now),
-		drained: now,
+		addr:      addr,
+		placed:    newPlacements(),
+		rate:      NewRate(),
+		blocks:    NewIndex(),
+		shares:    limit.NewShares(now),
+		drainedAt: now,
 	}
 }
 
@@ -76,30 +81,31 @@
 // Load returns the last report.
 func (l *LoadTracker) Load() Load { return l.load }
 
-// OpenPlacements returns the number of placements whose end is not known.
+// OpenPlacements returns the number of placements that are not known to have
+// ended.
 func (l *LoadTracker) OpenPlacements() int { return l.placed.len() }
 
-// FreeTokens returns the memory that is not taken, in tokens. Memory counts as taken by
-// what the report shows and what was placed since, or by all placements if that
-// is more: one that was placed just before the report was taken may have reached
-// the engine just after.
+// FreeTokens returns the free KV memory of the engine, in tokens. The memory in
+// use is that of the last report plus that of the placements since, or that of
+// all placements if it is greater: a request that was placed just before the
+// report was taken may have reached the engine just after.
 func (l *LoadTracker) FreeTokens() int {
 	newer, placed := 0, 0
 	for _, x := range l.placed.ordered {
-		placed += x.memory
-		if x.at.After(l.load.Taken) {
-			newer += x.memory
+		placed += x.memoryTokens
+		if x.placedAt.After(l.load.Taken) {
+			newer += x.memoryTokens
 		}
 	}
 	return l.load.Total - max(l.load.Used+newer, placed)
 }
 
-// Offer predicts the time to first token of p here.
+// Offer returns the prediction for running p on this engine.
 func (l *LoadTracker) Offer(p Prompt, now time.Time) Offer {
 	l.drain(now)
-	behind := l.shares.Delay(p.Workspace, p.Long(), l.rate.TokensPerSecond(), now)
-	p = p.WithDelay(behind)
-	ahead := l.foreign
+	fairnessDelay := l.shares.Delay(p.Workspace, p.Long(), l.rate.TokensPerSecond(), now)
+	p = p.WithDelay(fairnessDelay)
+	ahead := l.unattributed
 	displaced := 0
 	for _, x := range l.placed.ordered {
 		switch {
@@ -111,58 +117,58 @@
 		}
 	}
 	cached := l.cached(p)
-	grown := 1 + min(staleGrowth*now.Sub(l.load.Taken).Seconds(), maxStale)
+	staleFactor := 1 + min(staleGrowthPerSecond*now.Sub(l.load.Taken).Seconds(), maxStaleGrowth)
 	rate := l.rate.TokensPerSecond()
 	prefill := seconds(float64(p.Tokens-cached) / rate)
 	return Offer{
 		Addr:          l.addr,
 		Incarnation:   l.load.Incarnation,
-		Wait:          seconds(ahead/rate*grown) + l.rate.Overhead(),
+		Wait:          seconds(ahead/rate*staleFactor) + l.rate.Overhead(),
 		Prefill:       prefill,
 		Displaced:     time.Duration(float64(displaced) * displacedWeight * float64(prefill)),
 		Cached:        cached,
-		FairnessDelay: behind,
+		FairnessDelay: fairnessDelay,
 		Fits:          p.Memory() <= l.FreeTokens(),
 	}
 }
 
-// Place records that an attempt goes to this engine, and returns how long it
-// should wait behind those of other workspaces.
+// Place records that an attempt is sent to this engine. It returns how long the
+// request should yield to those of other workspaces; see [Offer].
 func (l *LoadTracker) Place(attempt string, p Prompt, now time.Time) time.Duration {
 	rate := l.rate.TokensPerSecond()
-	behind := l.shares.Delay(p.Workspace, p.Long(), rate, now)
-	p = p.WithDelay(behind)
+	fairnessDelay := l.shares.Delay(p.Workspace, p.Long(), rate, now)
+	p = p.WithDelay(fairnessDelay)
 	expiry := p.Deadline
 	if expiry.IsZero() {
-		expiry = now.Add(placementLife)
+		expiry = now.Add(placementTTL)
 	}
-	fresh := p.Tokens - l.cached(p)
+	uncached := p.Tokens - l.cached(p)
 	l.placed.add(&placement{
-		attempt:  attempt,
-		priority: p.Priority,
-		at:       now,
-		pending:  float64(fresh),
-		fresh:    fresh,
-		cached:   p.Tokens - fresh,
-		memory:   p.takes(),
-		expiry:   expiry,
+		attempt:      attempt,
+		priority:     p.Priority,
+		placedAt:     now,
+		pending:      float64(uncached),
+		uncached:     uncached,
+		cached:       p.Tokens - uncached,
+		memoryTokens: p.unreservedMemory(),
+		expiry:       expiry,
 	})
 	l.arrived += float64(p.Tokens)
-	l.spared += float64(p.Tokens - fresh)
-	l.shares.Take(p.Workspace, p.Long(), p.Share, float64(fresh+p.MaxTokens), rate, now)
-	return behind
+	l.expectedCached += float64(p.Tokens - uncached)
+	l.shares.Take(p.Workspace, p.Long(), p.Share, float64(uncached+p.MaxTokens), rate, now)
+	return fairnessDelay
 }
 
-// Finish records that an attempt has ended. A first-token time above zero, of
-// a request that had the engine to itself, teaches the engine's rate.
+// Finish records that an attempt has ended. If firstToken is above zero and no
+// other work remains on the engine, it updates the estimated rate.
 func (l *LoadTracker) Finish(attempt string, firstToken time.Duration, now time.Time) {
 	l.drain(now)
 	p := l.placed.remove(attempt)
 	if p == nil {
 		return
 	}
-	if firstToken > 0 && l.placed.len() == 0 && l.foreign == 0 {
-		l.rate = l.rate.Observe(p.fresh, firstToken)
+	if firstToken > 0 && l.placed.len() == 0 && l.unattributed == 0 {
+		l.rate = l.rate.Observe(p.uncached, firstToken)
 	}
 }
 
--- a/core/route/owner.go
+++ b/core/route/owner.go
@@ -8,11 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// linkClass is by how many doublings a link is much wider than another.
-const linkClass = 2
+// linkClassDoublings is the width of a class of link speeds, in doublings.
+// Links in the same class rank equal.
+const linkClassDoublings = 2
 
 // Rank orders names by their rendezvous weight for a key, highest first. When
-// a name goes, only the keys that it won move.
+// a name is removed, only the keys for which it ranked first move.
 func Rank(key string, names []string) []string {
 	type weighted struct {
 		name   string
@@ -32,23 +33,25 @@
 	return out
 }
 
-// RankByLink is [Rank] with those first that have much wider links, given in
-// Mbit/s; what has none counts as narrow.
+// RankByLink orders names by the class of their link speed, fastest first, and
+// within a class as [Rank] does. Links are given in Mbit/s; a name without an
+// entry ranks in the slowest class.
 func RankByLink(key string, names []string, links map[string]float64) []string {
 	order := Rank(key, names)
-	class := func(name string) float64 { return math.Floor(math.Log2(max(links[name], 1)) / linkClass) }
+	class := func(name string) float64 { return math.Floor(math.Log2(max(links[name], 1)) / linkClassDoublings) }
 	slices.SortStableFunc(order, func(a, b string) int { return cmp.Compare(class(b), class(a)) })
 	return order
 }
 
-// Owner returns the name that comes first in [Rank], or "" for no names.
+// Owner returns the name that comes first in [Rank], or "" if there are no
+// names.
 func Owner(key string, names []string) string {
 	var best string
-	var most uint64
+	var maxWeight uint64
 	for _, n := range names {
 		w := weight(key, n)
-		if best == "" || w > most || (w == most && n < best) {
-			best, most = n, w
+		if best == "" || w > maxWeight || (w == maxWeight && n < best) {
+			best, maxWeight = n, w
 		}
 	}
 	return best
--- a/core/route/placements.go
+++ b/core/route/placements.go
@@ -7,20 +7,21 @@
 )
 
 type (
-	// placement is one attempt that was placed on an engine and has not ended.
+	// placement is an attempt that was placed on an engine and is not known to
+	// have ended.
 	placement struct {
-		attempt  string
-		priority int64
-		at       time.Time
-		pending  float64 // prompt tokens not prefilled yet, by estimate
-		fresh    int     // prompt tokens that were not cached when it was placed
-		cached   int     // those that were
-		memory   int
-		expiry   time.Time
+		attempt      string
+		priority     int64
+		placedAt     time.Time
+		pending      float64 // prompt tokens still to be prefilled, estimated
+		uncached     int     // prompt tokens that were not cached at placement
+		cached       int     // prompt tokens that were cached at placement
+		memoryTokens int
+		expiry       time.Time
 	}
 
-	// placements are those of one engine, kept in the order in which the engine
-	// works on them.
+	// placements are the placements on one engine, in the order in which the
+	// engine processes them.
 	placements struct {
 		byAttempt map[string]*placement
 		ordered   []*placement // most urgent first
@@ -33,7 +34,7 @@
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.attempt, b.attempt))
 }
 
-// add adds x, in the place of an earlier one of the same attempt.
+// add adds x and replaces an earlier placement of the same attempt.
 func (p *placements) add(x *placement) {
 	p.remove(x.attempt)
 	i, _ := slices.BinarySearchFunc(p.ordered, x, byPriority)
@@ -41,7 +42,8 @@
 	p.byAttempt[x.attempt] = x
 }
 
-// remove removes and returns the placement of an attempt, or nil.
+// remove removes and returns the placement of an attempt, or returns nil if
+// there is none.
 func (p *placements) remove(attempt string) *placement {
 	x, ok := p.byAttempt[attempt]
 	if !ok {
@@ -53,14 +55,14 @@
 	return x
 }
 
-// expire removes those whose end was not told in time.
+// expire removes the placements whose end was not reported before their expiry.
 func (p *placements) expire(now time.Time) {
 	p.ordered = slices.DeleteFunc(p.ordered, func(x *placement) bool {
-		old := now.After(x.expiry)
-		if old {
+		expired := now.After(x.expiry)
+		if expired {
 			delete(p.byAttempt, x.attempt)
 		}
-		return old
+		return expired
 	})
 }
 
--- a/core/route/placements_test.go
+++ b/core/route/placements_test.go
@@ -13,11 +13,11 @@
 )
 
 // TestPlacementsAgainstNaive adds, removes and expires placements, and compares
-// them with a plain map that is sorted each time.
+// the result with a map that is sorted after each step.
 func TestPlacementsAgainstNaive(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	ps := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
-	ps.Property("the same, in the same order", prop.ForAll(func(steps []int) bool {
+	ps.Property("same placements in the same order", prop.ForAll(func(steps []int) bool {
 		p, naive := newPlacements(), map[string]*placement{}
 		for i, n := range steps {
 			id, now := fmt.Sprint(n%7), start.Add(time.Duration(i)*time.Second)
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,21 +1,23 @@
-// Package route decides which engine runs a request. It holds pure decisions:
-// values in, values out, with the time as an argument.
+// Package route decides which engine runs a request. Its decisions depend only
+// on their arguments, including the time.
 //
-// # How a choice is made
+// # How an engine is chosen
 //
-// The predicted time to first token at an engine is the work that waits ahead
-// of the request there, plus the prefill of the prompt tokens that are not
-// cached there. Work waits ahead only if it is at least as urgent, since
-// engines honour priorities. [LoadTracker.Offer] gives this figure for one engine,
-// and [Choose] takes the best of several offers.
+// The predicted time to first token on an engine is the time for the work that
+// is queued ahead of the request, plus the time to prefill the prompt tokens
+// that are not cached there. Only work that is at least as urgent counts as
+// ahead, since engines process requests by priority. [LoadTracker.Offer] makes
+// this prediction for one engine, and [Choose] selects the best of several
+// offers.
 //
-// # Who knows the load
+// # Who tracks the load
 //
-// Load reports lag, and at full size one daemon sends under six requests a
-// second, so no entry host knows an engine's load by itself. Each engine has
-// one soft owner among its hall's live daemons, by rendezvous hashing
-// ([Owner]), which keeps a [LoadTracker] of what was placed on it. Correctness
-// never rests on the owner: the engine itself has the last word on memory.
+// Load reports arrive with a delay, and at full scale one daemon sends under six
+// requests per second, so no entry host knows an engine's load from its own
+// traffic. Each engine therefore has one soft owner among the live daemons of
+// its hall, selected by rendezvous hashing ([Owner]), which keeps a
+// [LoadTracker] of the requests placed on it. Correctness does not depend on
+// the owner: the engine itself decides whether a request gets memory.
 //
 // # Usage
 //
@@ -32,26 +34,26 @@
 )
 
 const (
-	// waitMargin is what a predicted wait is multiplied by at admission.
+	// waitMargin is the factor applied to a predicted wait at admission.
 	waitMargin = 2.5
-	// decodeStep is the time that one token of the answer takes at least.
-	decodeStep = 10 * time.Millisecond
-	// answerTokens bounds the answer that admission counts on: callers often
-	// allow far more tokens than the answer has.
-	answerTokens = 256
+	// minDecodeStep is the minimum time to decode one token of the answer.
+	minDecodeStep = 10 * time.Millisecond
+	// maxAnswerTokens bounds the answer length that admission assumes, since
+	// callers often allow far more tokens than the answer has.
+	maxAnswerTokens = 256
 )
 
 type (
-	// PrefixHash is the name of one prefix of a prompt.
+	// PrefixHash identifies one prefix of a prompt by its hash.
 	PrefixHash struct {
 		Blocks int
 		Hash   uint64
 	}
 
-	// Prompt is what a decision needs to know of a request.
+	// Prompt holds the properties of a request on which a decision depends.
 	Prompt struct {
 		Workspace    string
-		Share        float64 // of the site, from the workspace's template
+		Share        float64 // fraction of the site, from the workspace's template
 		Model        string
 		Version      string
 		Tokens       int
@@ -59,7 +61,8 @@
 		Priority     int64 // lower is more urgent; see [Priority]
 		PrefixHashes []PrefixHash
 		Deadline     time.Time
-		// Reserved says that its memory has been reserved on a group of engines.
+		// Reserved reports whether the memory of the request has been reserved
+		// on a group of engines.
 		Reserved bool
 	}
 
@@ -67,23 +70,25 @@
 	Offer struct {
 		Addr        string        `json:"addr"`
 		Incarnation uint64        `json:"incarnation"`
-		Wait        time.Duration `json:"wait"` // before its prefill starts
+		Wait        time.Duration `json:"wait"` // until its prefill starts
 		Prefill     time.Duration `json:"prefill"`
-		// Displaced is the delay that the request would cause to less
-		// urgent work that waits there.
+		// Displaced is the weighted delay that the request would cause to less
+		// urgent work queued there.
 		Displaced time.Duration `json:"displaced"`
 		Cached    int           `json:"cached"` // tokens
-		Fits      bool          `json:"fits"`   // memory is free for it now
-		// FairnessDelay is how long the request should wait behind those of others,
-		// since its workspace has had more than its share of the engine.
+		Fits      bool          `json:"fits"`   // enough memory is free now
+		// FairnessDelay is how long the request should yield to those of other
+		// workspaces because its own has used more than its share of the engine.
 		FairnessDelay time.Duration `json:"behind"`
-		// BlockedByGroup says that the engine's memory is kept for a more urgent group.
+		// BlockedByGroup reports whether a more urgent group waits for the
+		// engine's memory.
 		BlockedByGroup bool `json:"held,omitempty"`
-		// Ejected says that attempts on the engine failed lately.
+		// Ejected reports whether the engine is ejected after failed attempts;
+		// see [Health].
 		Ejected bool `json:"ejected,omitempty"`
 	}
 
-	// Decision explains one choice.
+	// Decision records the outcome of one choice and the reason for it.
 	Decision struct {
 		Offers []Offer `json:"offers"` // best first
 		Chosen string  `json:"chosen"`
@@ -95,16 +100,16 @@
 // tokens.
 func (p Prompt) Memory() int { return p.Tokens + p.MaxTokens }
 
-// takes returns the memory that placing the prompt takes, beside what the engine
-// counts as used already.
-func (p Prompt) takes() int {
+// unreservedMemory returns the memory, in tokens, that the prompt needs beyond
+// what the engine already counts as used.
+func (p Prompt) unreservedMemory() int {
 	if p.Reserved {
 		return 0
 	}
 	return p.Memory()
 }
 
-// WithReserved returns p with its memory reserved.
+// WithReserved returns p marked as having its memory reserved.
 func (p Prompt) WithReserved() Prompt {
 	p.Reserved = true
 	return p
@@ -113,19 +118,20 @@
 // Long reports whether the prompt counts as long.
 func (p Prompt) Long() bool { return p.Tokens >= LongPromptTokens }
 
-// NewPrefixHashes returns the marks of a chain of block names.
+// NewPrefixHashes returns the hashes of selected prefixes of a chain of block
+// hashes, in rising order of length.
 func NewPrefixHashes(chain []uint64) []PrefixHash {
 	ns := prefix.Marks(len(chain))
-	ms := make([]PrefixHash, len(ns))
+	hs := make([]PrefixHash, len(ns))
 	for i, n := range ns {
-		ms[i] = PrefixHash{Blocks: n, Hash: chain[n-1]}
+		hs[i] = PrefixHash{Blocks: n, Hash: chain[n-1]}
 	}
-	return ms
+	return hs
 }
 
-// WithDelay returns p with a priority that is later by d, but never later than
-// its deadline: what has waited long enough comes first whatever its
-// workspace has had.
+// WithDelay returns p with its priority later by d, but not later than its
+// deadline. The bound lets a request that has waited long enough come first
+// however much its workspace has used.
 func (p Prompt) WithDelay(d time.Duration) Prompt {
 	p.Priority += d.Milliseconds()
 	if !p.Deadline.IsZero() {
@@ -137,35 +143,36 @@
 // TimeToFirstToken returns the predicted time to first token.
 func (o Offer) TimeToFirstToken() time.Duration { return o.Wait + o.Prefill }
 
-// TimeToComplete returns the time that the whole answer may need: the wait with a
-// margin, since more urgent work may still come, the prefill, and the decode.
+// TimeToComplete returns the time that the complete answer may need: the wait,
+// with a margin for more urgent work that arrives later, the prefill and the
+// decoding.
 func (o Offer) TimeToComplete(p Prompt) time.Duration {
 	wait := time.Duration(waitMargin * float64(o.Wait))
 	return wait + o.Prefill + answerTime(p)
 }
 
-// answerTime returns the time that the answer takes at least.
+// answerTime returns the minimum time to decode the answer.
 func answerTime(p Prompt) time.Duration {
-	return time.Duration(min(p.MaxTokens, answerTokens)) * decodeStep
+	return time.Duration(min(p.MaxTokens, maxAnswerTokens)) * minDecodeStep
 }
 
-// Cost returns what is compared between offers: the time to first token, and
-// the delay that others get.
+// Cost returns the quantity that [Choose] minimizes: the time to first token
+// plus the delay caused to other requests.
 func (o Offer) Cost() time.Duration { return o.TimeToFirstToken() + o.Displaced }
 
-// Choose returns the offer with the least cost.
-// An engine that is not ejected goes before one that is, one that is not held
-// for a group before one that is, and an offer with free memory before one
-// without; equal ones go by address, so that the same offers give the same
-// choice. It reports false if no offer can meet the deadline; the best offer
-// then tells by how much.
+// Choose returns the offer with the least cost and the reason for the choice.
+// It prefers engines that are not ejected, then engines that are not blocked by
+// a group, then offers with enough free memory, before it compares costs. Ties
+// are broken by address, so that the choice is deterministic. Choose returns
+// false if there are no offers or if the best one cannot meet the deadline; in
+// the latter case it returns that offer, from which the shortfall follows.
 func Choose(p Prompt, offers []Offer, now time.Time) (Offer, Decision, bool) {
 	d := Decision{Offers: slices.Clone(offers)}
 	if len(offers) == 0 {
 		d.Reason = "no live engine holds the model"
 		return Offer{}, d, false
 	}
-	slices.SortFunc(d.Offers, better)
+	slices.SortFunc(d.Offers, compareOffers)
 	best := d.Offers[0]
 	if !p.Deadline.IsZero() && best.TimeToComplete(p) > p.Deadline.Sub(now) {
 		d.Reason = "no engine can start it within its time"
@@ -176,16 +183,17 @@
 	return best, d, true
 }
 
-// WaitsForGroup reports whether the choice only led to waiting for a group.
+// WaitsForGroup reports whether the best offer is blocked by a group, so that
+// the request has to wait.
 func (d Decision) WaitsForGroup() bool { return len(d.Offers) > 0 && d.Offers[0].BlockedByGroup }
 
-func better(a, b Offer) int {
-	return cmp.Or(first(!a.Ejected, !b.Ejected), first(!a.BlockedByGroup, !b.BlockedByGroup), first(a.Fits, b.Fits),
+func compareOffers(a, b Offer) int {
+	return cmp.Or(trueFirst(!a.Ejected, !b.Ejected), trueFirst(!a.BlockedByGroup, !b.BlockedByGroup), trueFirst(a.Fits, b.Fits),
 		cmp.Compare(a.Cost(), b.Cost()), cmp.Compare(a.Addr, b.Addr))
 }
 
-// first orders what is true before what is not.
-func first(a, b bool) int {
+// trueFirst compares two booleans and orders true before false.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -35,7 +35,7 @@
 	return os
 }
 
-// naiveChoice scans for an offer that no other one beats.
+// naiveChoice returns the address of the best offer, found by a linear scan.
 func naiveChoice(os []route.Offer) string {
 	best := -1
 	rank := func(o route.Offer) string {
@@ -51,7 +51,7 @@
 
 func TestChooseAgainstNaive(t *testing.T) {
 	properties(t, func(ps *gopter.Properties) {
-		ps.Property("same engine as a full scan", prop.ForAll(func(waits []int) bool {
+		ps.Property("same engine as a linear scan", prop.ForAll(func(waits []int) bool {
 			os := offersFrom(waits)
 			got, _, ok := route.Choose(route.Prompt{}, os, start)
 			return len(os) == 0 && !ok || len(os) > 0 && ok && got.Addr == naiveChoice(os)
@@ -59,18 +59,18 @@
 	})
 }
 
-func TestChooseRefusesWhatCantBeInTime(t *testing.T) {
+func TestChooseRefusesUnreachableDeadlines(t *testing.T) {
 	o := route.Offer{Addr: "e", Wait: time.Second, Prefill: time.Second, Fits: true}
 	for name, tc := range map[string]struct {
 		left   time.Duration
 		answer int
 		ok     bool
 	}{
-		"ample":                      {time.Minute, 10, true},
-		"less than the prefill":      {500 * time.Millisecond, 10, false},
-		"no margin for others":       {2100 * time.Millisecond, 10, false},
-		"a long answer is allowed":   {10 * time.Second, 20_000, true},
-		"no time for a usual answer": {4 * time.Second, 256, false},
+		"ample time":                   {time.Minute, 10, true},
+		"less than the prefill":        {500 * time.Millisecond, 10, false},
+		"no margin for the wait":       {2100 * time.Millisecond, 10, false},
+		"large token limit":            {10 * time.Second, 20_000, true},
+		"no time for a typical answer": {4 * time.Second, 256, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, d, ok := route.Choose(route.Prompt{Deadline: start.Add(tc.left), MaxTokens: tc.answer}, []route.Offer{o}, start)
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestOwnerMovesOnlyWhatItMust(t *testing.T) {
+func TestOwnerMovesOnlyKeysOfRemovedName(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	moved := 0
 	for i := range 1000 {
@@ -92,7 +92,7 @@
 		}
 		after := route.Owner(k, slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == "c" }))
 		if before != "c" && after != before {
-			t.Fatalf("key %s moved from %s to %s though only c went", k, before, after)
+			t.Fatalf("key %s moved from %s to %s, but only c was removed", k, before, after)
 		}
 		if before == "c" {
 			moved++
@@ -105,7 +105,7 @@
 
 func TestIndexAgainstNaive(t *testing.T) {
 	properties(t, func(ps *gopter.Properties) {
-		ps.Property("longest marked prefix", prop.ForAll(func(length, cached int) bool {
+		ps.Property("longest cached prefix", prop.ForAll(func(length, cached int) bool {
 			chain := make([]uint64, length)
 			for i := range chain {
 				chain[i] = uint64(i) + 1
@@ -123,11 +123,11 @@
 	})
 }
 
-func TestIndexTrust(t *testing.T) {
+func TestIndexInSync(t *testing.T) {
 	chain := []uint64{1, 2, 3, 4}
 	x := route.NewIndex()
 	if x.InSync() {
-		t.Error("an index that was never synced is trusted")
+		t.Error("an index without a resync is in sync")
 	}
 	x.Resync(chain, 4)
 	if got := x.Cached(route.NewPrefixHashes(chain)); got != 4 {
@@ -135,29 +135,29 @@
 	}
 	x.Add(6, 9) // event 5 was lost
 	if x.InSync() {
-		t.Error("trusted after a gap")
+		t.Error("in sync after a gap")
 	}
 	if got := x.Cached(route.NewPrefixHashes(chain)); got != 2 {
-		t.Errorf("untrusted, cached %d, want half", got)
+		t.Errorf("out of sync, cached %d, want half (2)", got)
 	}
 	x.Resync(chain[:2], 7)
 	x.Evict(8, 2)
-	x.Evict(8, 1) // a repeat of an old number
+	x.Evict(8, 1) // repeats an event number
 	if got := x.Cached(route.NewPrefixHashes(chain)); !x.InSync() || got != 1 {
-		t.Errorf("after the resync: trusted %v, cached %d, want 1", x.InSync(), got)
+		t.Errorf("after the resync: in sync %v, cached %d, want true, 1", x.InSync(), got)
 	}
 }
 
-func TestPriorityLetsReviewsAge(t *testing.T) {
+func TestPriorityDoesNotStarveReviews(t *testing.T) {
 	review := route.Priority(template.Review, 2000, start, time.Time{})
 	for name, tc := range map[string]struct {
 		later time.Duration
 		first bool
 	}{
-		"at once":        {0, false},
-		"half a minute":  {30 * time.Second, false},
-		"over a minute":  {61 * time.Second, true},
-		"a long time on": {time.Hour, true},
+		"same time":     {0, false},
+		"half a minute": {30 * time.Second, false},
+		"over a minute": {61 * time.Second, true},
+		"an hour":       {time.Hour, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			till := route.Priority(template.Interactive, 2000, start.Add(tc.later), time.Time{})
@@ -168,37 +168,37 @@
 	}
 	long := route.Priority(template.Interactive, 500_000, start, time.Time{})
 	if short := route.Priority(template.Interactive, 1000, start, time.Time{}); short >= long {
-		t.Error("a long prompt goes before a short one of the same urgency")
+		t.Error("a long prompt precedes a short one of the same urgency")
 	}
 }
 
-func TestPriorityIsWhenARequestMustComeFirst(t *testing.T) {
+func TestPriorityIsBoundedByDeadline(t *testing.T) {
 	for name, tc := range map[string]struct {
 		tokens         int
 		deadline, want time.Duration
 	}{
-		"short":                {1000, time.Second, time.Second},
-		"long":                 {400_000, time.Minute, time.Minute},
-		"has time enough":      {1000, time.Hour, 60*time.Second + 300*time.Millisecond},
-		"long, and has enough": {400_000, time.Hour, 180 * time.Second},
+		"short, near deadline":    {1000, time.Second, time.Second},
+		"long, near deadline":     {400_000, time.Minute, time.Minute},
+		"short, distant deadline": {1000, time.Hour, 60*time.Second + 300*time.Millisecond},
+		"long, distant deadline":  {400_000, time.Hour, 180 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := route.Priority(template.Review, tc.tokens, start, start.Add(tc.deadline))
 			if want := start.Add(tc.want).UnixMilli(); got != want {
-				t.Errorf("it can wait until %d, want %d", got, want)
+				t.Errorf("priority %d, want %d", got, want)
 			}
 		})
 	}
 }
 
-// TestLengthGivesUpNoMemoryToGroups has requests come while a group waits that
-// can go on doing so for ten seconds.
-func TestLengthGivesUpNoMemoryToGroups(t *testing.T) {
+// TestPromptLengthDoesNotBlockBehindGroups compares requests with a waiting group
+// whose priority is ten seconds after their arrival.
+func TestPromptLengthDoesNotBlockBehindGroups(t *testing.T) {
 	group := start.Add(10 * time.Second).UnixMilli()
 	for name, tc := range map[string]struct {
 		urgency template.Urgency
 		tokens  int
-		held    bool
+		blocked bool
 	}{
 		"interactive, short": {template.Interactive, 2000, false},
 		"interactive, long":  {template.Interactive, 100_000, false},
@@ -209,22 +209,22 @@
 		t.Run(name, func(t *testing.T) {
 			deadline := start.Add(time.Hour)
 			p := route.Prompt{Tokens: tc.tokens, Priority: route.Priority(tc.urgency, tc.tokens, start, deadline)}
-			if got := p.PriorityAgainstGroups() > group; got != tc.held {
-				t.Errorf("it is held back: %v, want %v", got, tc.held)
+			if got := p.PriorityAgainstGroups() > group; got != tc.blocked {
+				t.Errorf("blocked %v, want %v", got, tc.blocked)
 			}
 		})
 	}
 }
 
-func TestGroupWaitsNoLongerThanItCan(t *testing.T) {
-	review := route.Prompt{Tokens: 400_000, MaxTokens: 100, Priority: start.Add(time.Minute).UnixMilli()} // 11 s of its own
+func TestGroupPriorityLeavesTimeToRun(t *testing.T) {
+	review := route.Prompt{Tokens: 400_000, MaxTokens: 100, Priority: start.Add(time.Minute).UnixMilli()} // runs for 11 s
 	for name, tc := range map[string]struct {
 		deadline, want time.Duration
 	}{
-		"much time":        {10 * time.Minute, time.Minute},
-		"little time":      {31 * time.Second, 10 * time.Second},
-		"too little time":  {5 * time.Second, 0},
-		"no deadline: its": {0, time.Minute},
+		"distant deadline":     {10 * time.Minute, time.Minute},
+		"near deadline":        {31 * time.Second, 10 * time.Second},
+		"unreachable deadline": {5 * time.Second, 0},
+		"no deadline":          {0, time.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := review
@@ -232,7 +232,7 @@
 				p.Deadline = start.Add(tc.deadline)
 			}
 			if got := time.Duration(route.GroupPriority(p, start)-start.UnixMilli()) * time.Millisecond; got != tc.want {
-				t.Errorf("it holds others back after %v, want %v", got, tc.want)
+				t.Errorf("blocks others after %v, want %v", got, tc.want)
 			}
 		})
 	}
@@ -244,34 +244,34 @@
 	return l
 }
 
-func TestLoadTracker(t *testing.T) {
+func TestOfferWait(t *testing.T) {
 	urgent := route.Prompt{Tokens: 4000, Priority: 1, Deadline: start.Add(time.Hour)}
-	patient := urgent
-	patient.Priority, patient.Workspace = 9, "other"
+	relaxed := urgent
+	relaxed.Priority, relaxed.Workspace = 9, "other"
 	for name, tc := range map[string]struct {
 		do   func(l *route.LoadTracker)
 		ask  route.Prompt
-		want time.Duration // of the wait, beside the overhead
+		want time.Duration // wait, without the overhead
 	}{
-		"idle":                 {func(*route.LoadTracker) {}, urgent, 0},
-		"urgent work is ahead": {func(l *route.LoadTracker) { l.Place("a", urgent, start) }, patient, 100 * time.Millisecond},
-		"patient work is not":  {func(l *route.LoadTracker) { l.Place("a", patient, start) }, urgent, 0},
-		"ended work is not":    {func(l *route.LoadTracker) { l.Place("a", urgent, start); l.Finish("a", 0, start) }, patient, 0},
-		"others' work, from reports": {func(l *route.LoadTracker) {
+		"idle":                          {func(*route.LoadTracker) {}, urgent, 0},
+		"more urgent work is ahead":     {func(l *route.LoadTracker) { l.Place("a", urgent, start) }, relaxed, 100 * time.Millisecond},
+		"less urgent work is not ahead": {func(l *route.LoadTracker) { l.Place("a", relaxed, start) }, urgent, 0},
+		"finished work is not ahead":    {func(l *route.LoadTracker) { l.Place("a", urgent, start); l.Finish("a", 0, start) }, relaxed, 0},
+		"work known only from the report": {func(l *route.LoadTracker) {
 			l.ApplyReport(route.Load{Taken: start, Incarnation: 1, Pending: 8000, Total: 1}, start)
 		}, urgent, 200 * time.Millisecond},
-		"not counted twice": {func(l *route.LoadTracker) {
+		"placement and report not counted twice": {func(l *route.LoadTracker) {
 			l.Place("a", urgent, start)
 			l.ApplyReport(route.Load{Taken: start, Incarnation: 1, Pending: 4000, Total: 1}, start)
-		}, patient, 100 * time.Millisecond},
-		"done sooner, says the report": {func(l *route.LoadTracker) {
+		}, relaxed, 100 * time.Millisecond},
+		"report shows earlier completion": {func(l *route.LoadTracker) {
 			l.Place("a", urgent, start)
 			l.ApplyReport(route.Load{Taken: start, Incarnation: 1, Pending: 0, Total: 1}, start)
-		}, patient, 0},
-		"forgotten with the engine": {func(l *route.LoadTracker) {
+		}, relaxed, 0},
+		"discarded when the engine restarts": {func(l *route.LoadTracker) {
 			l.Place("a", urgent, start)
 			l.ApplyReport(route.Load{Taken: start, Incarnation: 2, Total: 1}, start)
-		}, patient, 0},
+		}, relaxed, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := tracker(0)
@@ -283,39 +283,39 @@
 	}
 }
 
-func TestLoadTrackerLearnsFromReports(t *testing.T) {
+func TestLoadTrackerEstimatesRateFromReports(t *testing.T) {
 	l := tracker(0)
 	ask := route.Prompt{Tokens: 100_000, Deadline: start.Add(time.Hour)}
 	before := l.Offer(ask, start).Prefill
 	now, pending := start, 500_000
-	for range 30 { // the engine prefills 10,000 tokens a second, a quarter of what is assumed
+	for range 30 { // the engine prefills 10,000 tokens/s, a quarter of the default
 		l.ApplyReport(route.Load{Taken: now, Incarnation: 1, Pending: pending, Total: 1}, now)
 		now, pending = now.Add(time.Second), pending-10_000
 	}
 	if after := l.Offer(ask, now).Prefill; after < 3*before {
-		t.Errorf("prefill of 100,000 tokens is predicted as %v, before as %v; the engine takes 10 s", after, before)
+		t.Errorf("predicted prefill of 100,000 tokens is %v, initially %v; the engine takes 10 s", after, before)
 	}
 }
 
-func TestLoadTrackerForgetsWhatNobodyEnds(t *testing.T) {
+func TestPlacementExpiresAtDeadline(t *testing.T) {
 	l := tracker(0)
 	l.Place("a", route.Prompt{Tokens: 100, Deadline: start.Add(time.Second)}, start)
 	l.Offer(route.Prompt{}, start.Add(2*time.Second))
 	if l.OpenPlacements() != 0 {
-		t.Error("a placement outlives its request's deadline")
+		t.Error("a placement is still open after the deadline of its request")
 	}
 }
 
-func TestHealthNeverTakesTheLastEngine(t *testing.T) {
+func TestEjectionKeepsLastEngine(t *testing.T) {
 	var h route.Health
 	for range 2 {
 		h = h.Fail(start)
 	}
 	if !h.Ejected(start) || h.Ejected(start.Add(time.Minute)) || h.Succeed().Ejected(start) {
-		t.Error("two failures in a row eject for a time, and a success ends it")
+		t.Error("two consecutive failures must eject for a limited time, and a success must end the ejection")
 	}
 	only := []route.Offer{{Addr: "e", Ejected: true}}
 	if _, _, ok := route.Choose(route.Prompt{}, only, start); !ok {
-		t.Error("the last engine is refused for being ejected")
+		t.Error("the only engine is refused because it is ejected")
 	}
 }
