--- a/core/group/group.go
+++ b/core/group/group.go
@@ -22,8 +22,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MostMembers bounds the engines that one prompt may hold.
-const MostMembers = 8
+// MaxMembers bounds the engines that one prompt may hold.
+const MaxMembers = 8
 
 // ErrTooLarge is a prompt for which all engines together have too little
 // memory, or too many would be needed.
@@ -54,7 +54,7 @@
 		return cmp.Or(cmp.Compare(b.Free, a.Free), cmp.Compare(a.Addr, b.Addr))
 	})
 	free, n := 0, 0
-	for n < len(cs) && n < MostMembers && free < tokens && cs[n].Free > 0 {
+	for n < len(cs) && n < MaxMembers && free < tokens && cs[n].Free > 0 {
 		free += cs[n].Free
 		n++
 	}
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -25,7 +25,7 @@
 		cs[i] = group.Candidate{Addr: fmt.Sprintf("e%02d", i), Free: f}
 	}
 	sorted := slices.Sorted(slices.Values(free))
-	for i := range min(group.MostMembers, len(sorted)) {
+	for i := range min(group.MaxMembers, len(sorted)) {
 		sum += sorted[len(sorted)-1-i]
 	}
 	return cs, sum
--- a/core/group/queue.go
+++ b/core/group/queue.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// WaitLife is how long a group counts as waiting after it last said so.
-	WaitLife = 2500 * time.Millisecond
+	// WaitTTL is how long a group counts as waiting after it last said so.
+	WaitTTL = 2500 * time.Millisecond
 	// smallPart is the part of an engine's memory, one in so many, up to which
 	// a request never waits for a group.
 	smallPart = 100
@@ -25,11 +25,11 @@
 		waiting map[string]waiting
 	}
 
-	// Turn is what an engine's owner answers to a group that waits there.
-	Turn struct {
-		Ahead bool // a more urgent group waits there too
-		Free  int  // tokens of memory that are free, as the owner counts them
-		Total int  // tokens in all; 0 if the owner knows nothing of the engine
+	// WaitStatus is what an engine's owner answers to a group that waits there.
+	WaitStatus struct {
+		Outranked bool // a more urgent group waits there too
+		Free      int  // tokens of memory that are free, as the owner counts them
+		Total     int  // tokens in all; 0 if the owner knows nothing of the engine
 	}
 
 	waiting struct {
@@ -41,10 +41,10 @@
 // NewQueue returns a queue in which nobody waits.
 func NewQueue() *Queue { return &Queue{waiting: map[string]waiting{}} }
 
-// Wait says that a group waits, and reports whether a more urgent one does.
-func (q *Queue) Wait(id string, priority int64, now time.Time) bool {
+// Join says that a group waits, and reports whether a more urgent one does.
+func (q *Queue) Join(id string, priority int64, now time.Time) bool {
 	q.forget(now)
-	q.waiting[id] = waiting{priority: priority, until: now.Add(WaitLife)}
+	q.waiting[id] = waiting{priority: priority, until: now.Add(WaitTTL)}
 	for other, w := range q.waiting {
 		if cmp.Or(cmp.Compare(w.priority, priority), cmp.Compare(other, id)) < 0 {
 			return true
@@ -56,9 +56,9 @@
 // Leave says that a group waits no longer.
 func (q *Queue) Leave(id string) { delete(q.waiting, id) }
 
-// Holds reports whether a request has to wait for a more urgent group. Memory
+// MustWait reports whether a request has to wait for a more urgent group. Memory
 // is what the request needs, and total what the engine has, in tokens.
-func (q *Queue) Holds(priority int64, memory, total int, now time.Time) bool {
+func (q *Queue) MustWait(priority int64, memory, total int, now time.Time) bool {
 	if memory*smallPart <= total {
 		return false
 	}
@@ -78,17 +78,17 @@
 	}
 }
 
-// Wanted returns the addresses of the engines for which a group should wait:
+// EnginesToWaitFor returns the addresses of the engines for which a group should wait:
 // those with the most free memory, until all their memory is enough. It
-// returns none if no [MostMembers] of them have enough.
-func Wanted(cs []Candidate, tokens int) []string {
+// returns none if no [MaxMembers] of them have enough.
+func EnginesToWaitFor(cs []Candidate, tokens int) []string {
 	cs = slices.Clone(cs)
 	slices.SortFunc(cs, func(a, b Candidate) int {
 		return cmp.Or(cmp.Compare(b.Free, a.Free), cmp.Compare(a.Addr, b.Addr))
 	})
 	var out []string
 	for _, c := range cs {
-		if tokens <= 0 || len(out) == MostMembers {
+		if tokens <= 0 || len(out) == MaxMembers {
 			break
 		}
 		out = append(out, c.Addr)
--- a/core/group/queue_test.go
+++ b/core/group/queue_test.go
@@ -32,8 +32,8 @@
 		"equal, by their ids":      {[]wait{{id: "b", priority: 5}}, wait{id: "a", priority: 5}, false},
 		"equal, the other way":     {[]wait{{id: "a", priority: 5}}, wait{id: "b", priority: 5}, true},
 		"behind one that left":     {[]wait{{id: "b", priority: 4}, {id: "b", leave: true}}, wait{id: "a", priority: 5}, false},
-		"behind one that is gone":  {[]wait{{id: "b", priority: 4}}, wait{id: "a", priority: 5, at: group.WaitLife}, false},
-		"behind one that goes on":  {[]wait{{id: "b", priority: 4}, {id: "b", priority: 4, at: group.WaitLife / 2}}, wait{id: "a", priority: 5, at: group.WaitLife}, true},
+		"behind one that is gone":  {[]wait{{id: "b", priority: 4}}, wait{id: "a", priority: 5, at: group.WaitTTL}, false},
+		"behind one that goes on":  {[]wait{{id: "b", priority: 4}, {id: "b", priority: 4, at: group.WaitTTL / 2}}, wait{id: "a", priority: 5, at: group.WaitTTL}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := group.NewQueue()
@@ -42,9 +42,9 @@
 					q.Leave(w.id)
 					continue
 				}
-				q.Wait(w.id, w.priority, start.Add(w.at))
+				q.Join(w.id, w.priority, start.Add(w.at))
 			}
-			if got := q.Wait(tc.ask.id, tc.ask.priority, start.Add(tc.ask.at)); got != tc.ahead {
+			if got := q.Join(tc.ask.id, tc.ask.priority, start.Add(tc.ask.at)); got != tc.ahead {
 				t.Errorf("ahead %v, want %v", got, tc.ahead)
 			}
 		})
@@ -54,7 +54,7 @@
 func TestQueueHoldsLessUrgentRequests(t *testing.T) {
 	const total = 400_000
 	q := group.NewQueue()
-	q.Wait("a", 5, start)
+	q.Join("a", 5, start)
 	for name, tc := range map[string]struct {
 		priority int64
 		memory   int
@@ -65,10 +65,10 @@
 		"more urgent":                {4, 20_000, 0, false},
 		"as urgent":                  {5, 20_000, 0, false},
 		"less urgent, but small":     {6, 4_000, 0, false},
-		"after the group was silent": {6, 20_000, group.WaitLife, false},
+		"after the group was silent": {6, 20_000, group.WaitTTL, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := q.Holds(tc.priority, tc.memory, total, start.Add(tc.at)); got != tc.held {
+			if got := q.MustWait(tc.priority, tc.memory, total, start.Add(tc.at)); got != tc.held {
 				t.Errorf("held %v, want %v", got, tc.held)
 			}
 		})
@@ -84,9 +84,9 @@
 			for i, f := range free {
 				cs[i] = group.Candidate{Addr: string(rune('a' + i)), Free: f, Total: 100}
 			}
-			got := group.Wanted(cs, tokens)
+			got := group.EnginesToWaitFor(cs, tokens)
 			need := (tokens + 99) / 100
-			if need > min(len(cs), group.MostMembers) {
+			if need > min(len(cs), group.MaxMembers) {
 				return got == nil
 			}
 			most := slices.Clone(free)
--- a/daemon/control/loop.go
+++ b/daemon/control/loop.go
@@ -178,7 +178,7 @@
 }
 
 // AwaitGroup is [State.AwaitGroup], for an engine that this daemon owns.
-func (l *Loop) AwaitGroup(ctx context.Context, addr, id string, priority int64, leave bool) group.Turn {
-	t, _ := Ask(ctx, l, func(s *State) group.Turn { return s.AwaitGroup(addr, id, priority, leave) })
+func (l *Loop) AwaitGroup(ctx context.Context, addr, id string, priority int64, leave bool) group.WaitStatus {
+	t, _ := Ask(ctx, l, func(s *State) group.WaitStatus { return s.AwaitGroup(addr, id, priority, leave) })
 	return t
 }
--- a/daemon/control/owned.go
+++ b/daemon/control/owned.go
@@ -231,22 +231,22 @@
 func (s *State) offer(o *ownedEngine, p route.Prompt) route.Offer {
 	x := o.load.Offer(p, s.now())
 	x.Ejected = o.health.Ejected(s.now())
-	x.BlockedByGroup = o.groups.Holds(p.PriorityAgainstGroups(), p.Memory(), o.record.TotalTokens, s.now())
+	x.BlockedByGroup = o.groups.MustWait(p.PriorityAgainstGroups(), p.Memory(), o.record.TotalTokens, s.now())
 	return x
 }
 
 // AwaitGroup notes that a group waits for the memory of an owned engine, or
 // that it waits no longer, and returns whether it is its turn and what is free.
-func (s *State) AwaitGroup(addr, id string, priority int64, leave bool) group.Turn {
+func (s *State) AwaitGroup(addr, id string, priority int64, leave bool) group.WaitStatus {
 	o, ok := s.owned[addr]
 	switch {
 	case !ok:
-		return group.Turn{}
+		return group.WaitStatus{}
 	case leave:
 		o.groups.Leave(id)
-		return group.Turn{}
+		return group.WaitStatus{}
 	}
-	t := group.Turn{Ahead: o.groups.Wait(id, priority, s.now())}
+	t := group.WaitStatus{Outranked: o.groups.Join(id, priority, s.now())}
 	if o.known && o.record.Status == directory.Up {
 		t.Free, t.Total = max(0, o.load.FreeTokens()), o.record.TotalTokens
 	}
--- a/daemon/dispatch/large.go
+++ b/daemon/dispatch/large.go
@@ -153,7 +153,7 @@
 		}
 		if errors.Is(err, group.ErrTooLarge) && x.neverFits(v) {
 			return nil, fault.Newf(fault.TooLarge, "shorten the prompt or the answer",
-				"the prompt and its answer need %d tokens of memory, more than a group of %d engines has", x.prompt.Memory(), group.MostMembers)
+				"the prompt and its answer need %d tokens of memory, more than a group of %d engines has", x.prompt.Memory(), group.MaxMembers)
 		}
 		if err := pause.UpTo(ctx, groupPause); err != nil {
 			return nil, err
@@ -192,7 +192,7 @@
 			return ms, group.Addrs(ms), nil
 		}
 		if len(wanted) == 0 {
-			wanted = group.Wanted(cs, x.prompt.Memory())
+			wanted = group.EnginesToWaitFor(cs, x.prompt.Memory())
 		}
 	}
 	return nil, wanted, err
--- a/daemon/dispatch/line.go
+++ b/daemon/dispatch/line.go
@@ -27,10 +27,10 @@
 // wait says in the queues of engines that the group waits there, and returns
 // what their owners answer. An owner that does not answer stands in nobody's
 // way, and lends nothing.
-func (l *line) wait(ctx context.Context, v *control.View, engines []string) []group.Turn {
+func (l *line) wait(ctx context.Context, v *control.View, engines []string) []group.WaitStatus {
 	ctx, cancel := context.WithTimeout(ctx, bidTimeout)
 	defer cancel()
-	turns := make([]group.Turn, len(engines))
+	turns := make([]group.WaitStatus, len(engines))
 	var g errgroup.Group
 	for i, e := range engines {
 		l.asked[e] = true
@@ -44,12 +44,12 @@
 }
 
 // ahead reports whether a more urgent group waits at any of the engines.
-func ahead(turns []group.Turn) bool {
-	return slices.ContainsFunc(turns, func(t group.Turn) bool { return t.Ahead })
+func ahead(turns []group.WaitStatus) bool {
+	return slices.ContainsFunc(turns, func(t group.WaitStatus) bool { return t.Outranked })
 }
 
 // candidates returns what groups may take of engines, by their owners' word.
-func candidates(engines []string, turns []group.Turn) []group.Candidate {
+func candidates(engines []string, turns []group.WaitStatus) []group.Candidate {
 	var out []group.Candidate
 	for i, t := range turns {
 		if t.Total > 0 {
@@ -71,17 +71,17 @@
 }
 
 // await tells the owner of an engine that the group waits there, or leaves.
-func (l *line) await(ctx context.Context, v *control.View, engine string, leave bool) group.Turn {
+func (l *line) await(ctx context.Context, v *control.View, engine string, leave bool) group.WaitStatus {
 	owner := v.Owner(engine)
 	switch owner {
 	case "":
-		return group.Turn{}
+		return group.WaitStatus{}
 	case v.Self.Addr:
 		return l.run.loop.AwaitGroup(ctx, engine, l.id, l.priority, leave)
 	}
 	t, err := l.run.peers.Await(ctx, owner, engine, l.id, l.priority, leave)
 	if err != nil {
-		return group.Turn{}
+		return group.WaitStatus{}
 	}
 	return t
 }
--- a/daemon/peers/rpc.go
+++ b/daemon/peers/rpc.go
@@ -130,13 +130,13 @@
 
 // Await tells the owner of an engine that a group waits for memory there, or
 // that it waits no longer, and reports whether a more urgent one waits too.
-func (c *Client) Await(ctx context.Context, addr, engine, id string, priority int64, leave bool) (group.Turn, error) {
+func (c *Client) Await(ctx context.Context, addr, engine, id string, priority int64, leave bool) (group.WaitStatus, error) {
 	p, err := c.peer(addr)
 	if err != nil {
-		return group.Turn{}, err
+		return group.WaitStatus{}, err
 	}
 	r, err := p.Await(ctx, &wire.AwaitRequest{Addr: engine, Id: id, Priority: priority, Leave: leave})
-	return group.Turn{Ahead: r.GetAhead(), Free: int(r.GetFreeTokens()), Total: int(r.GetTotalTokens())}, err
+	return group.WaitStatus{Outranked: r.GetAhead(), Free: int(r.GetFreeTokens()), Total: int(r.GetTotalTokens())}, err
 }
 
 // Demand asks a daemon what its callers ask for.
--- a/daemon/peers/server.go
+++ b/daemon/peers/server.go
@@ -181,7 +181,7 @@
 // Await notes that a group waits for an engine that this daemon owns.
 func (s *Server) Await(ctx context.Context, r *wire.AwaitRequest) (*wire.AwaitReply, error) {
 	t := s.loop.AwaitGroup(ctx, r.GetAddr(), r.GetId(), r.GetPriority(), r.GetLeave())
-	return &wire.AwaitReply{Ahead: t.Ahead, FreeTokens: uint32(t.Free), TotalTokens: uint32(t.Total)}, nil
+	return &wire.AwaitReply{Ahead: t.Outranked, FreeTokens: uint32(t.Free), TotalTokens: uint32(t.Total)}, nil
 }
 
 // Demand returns what this daemon's callers ask for.
