--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// With returns the sum of two demands.
-func (d Demand) With(o Demand) Demand {
+// Plus returns the sum of two demands.
+func (d Demand) Plus(o Demand) Demand {
 	out := make(Demand, len(d))
 	for c, r := range d {
 		out[c] = r
@@ -72,18 +72,18 @@
 	return out
 }
 
-// Wants returns what is wanted of the copies that templates name, by how many
+// DesiredCopies returns what is wanted of the copies that templates name, by how many
 // workspaces name each and by how much of it is asked for. What is asked for
 // and not named is not wanted: the template has changed.
-func Wants(named map[directory.Copy]int, d Demand) []Want {
+func DesiredCopies(named map[directory.Copy]int, d Demand) []DesiredCopy {
 	names, asked := 0.0, 0.0
 	for c, n := range named {
 		names += float64(n)
 		asked += d[c]
 	}
-	out := make([]Want, 0, len(named))
+	out := make([]DesiredCopy, 0, len(named))
 	for c, n := range named {
-		w := Want{Copy: c, Weight: float64(n) / names}
+		w := DesiredCopy{Copy: c, Weight: float64(n) / names}
 		if asked > 0 {
 			w.Weight = (1-demandPart)*w.Weight + demandPart*d[c]/asked
 		}
--- a/core/placement/demand_test.go
+++ b/core/placement/demand_test.go
@@ -43,11 +43,11 @@
 		"all ask for the till":      {placement.Demand{till: 90}, 0.85},
 		"as many tokens of each":    {placement.Demand{till: 90, ledger: 90}, 0.45},
 		"asked for, and not named":  {placement.Demand{directory.Copy{Model: "old"}: 90}, 0.25},
-		"from two daemons together": {placement.Demand{till: 40}.With(placement.Demand{till: 50, ledger: 90}), 0.45},
+		"from two daemons together": {placement.Demand{till: 40}.Plus(placement.Demand{till: 50, ledger: 90}), 0.45},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sum := 0.0
-			for _, w := range placement.Wants(named, tc.demand) {
+			for _, w := range placement.DesiredCopies(named, tc.demand) {
 				sum += w.Weight
 				if w.Copy == till && math.Abs(w.Weight-tc.till) > 1e-9 {
 					t.Errorf("the till's weight is %.3f, want %.3f", w.Weight, tc.till)
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -35,8 +35,8 @@
 )
 
 type (
-	// Want is a copy that templates name, with its part of the demand.
-	Want struct {
+	// DesiredCopy is a copy that templates name, with its part of the demand.
+	DesiredCopy struct {
 		Copy   directory.Copy
 		Weight float64
 	}
@@ -58,11 +58,11 @@
 
 	// Limits bound a plan.
 	Limits struct {
-		Slots int // copies that one engine can hold
-		Moves int // moves of one plan
-		// Slack is the part by which the count of copies may differ from its
+		SlotsPerEngine int // copies that one engine can hold
+		MaxMoves       int // moves of one plan
+		// Tolerance is the part by which the count of copies may differ from its
 		// aim before a move is made.
-		Slack float64
+		Tolerance float64
 	}
 
 	// plan is a plan in the making.
@@ -75,13 +75,13 @@
 )
 
 // DefaultLimits returns the limits that daemons use.
-func DefaultLimits() Limits { return Limits{Slots: 2, Moves: 4, Slack: 0.25} }
+func DefaultLimits() Limits { return Limits{SlotsPerEngine: 2, MaxMoves: 4, Tolerance: 0.25} }
 
 // Plan returns the next moves. With nothing to change it returns none.
-func Plan(wants []Want, engines []Engine, l Limits) []Move {
+func Plan(wants []DesiredCopy, engines []Engine, l Limits) []Move {
 	p := &plan{limits: l, engines: sorted(engines), aims: aims(wants, len(engines), l)}
 	wants = slices.Clone(wants)
-	slices.SortFunc(wants, func(a, b Want) int { return p.byNeed(a.Copy, b.Copy) })
+	slices.SortFunc(wants, func(a, b DesiredCopy) int { return p.byNeed(a.Copy, b.Copy) })
 	for _, w := range wants {
 		p.loadFor(w.Copy)
 	}
@@ -100,7 +100,7 @@
 
 // aims returns how many engines each wanted copy should have: at least one,
 // and at most all.
-func aims(wants []Want, engines int, l Limits) map[directory.Copy]int {
+func aims(wants []DesiredCopy, engines int, l Limits) map[directory.Copy]int {
 	total := 0.0
 	for _, w := range wants {
 		total += w.Weight
@@ -109,7 +109,7 @@
 	for _, w := range wants {
 		n := 1.0
 		if total > 0 {
-			n = math.Floor(w.Weight / total * float64(engines*l.Slots))
+			n = math.Floor(w.Weight / total * float64(engines*l.SlotsPerEngine))
 		}
 		out[w.Copy] = min(max(int(n), 1), engines)
 	}
@@ -145,7 +145,7 @@
 
 // loadFor loads a copy that has too few engines, or makes room for it.
 func (p *plan) loadFor(c directory.Copy) {
-	for p.count(c) < p.least(c) && len(p.moves) < p.limits.Moves {
+	for p.count(c) < p.least(c) && len(p.moves) < p.limits.MaxMoves {
 		if i := p.freeSlot(c); i >= 0 {
 			p.move(i, Load, c)
 			continue
@@ -158,7 +158,7 @@
 
 // least returns the count below which copies are loaded.
 func (p *plan) least(c directory.Copy) int {
-	return max(1, int(math.Ceil(float64(p.aims[c])*(1-p.limits.Slack))))
+	return max(1, int(math.Ceil(float64(p.aims[c])*(1-p.limits.Tolerance))))
 }
 
 // freeSlot returns the engine with the fewest copies that has room and lacks
@@ -166,7 +166,7 @@
 func (p *plan) freeSlot(c directory.Copy) int {
 	best := -1
 	for i, e := range p.engines {
-		if len(e.Copies) >= p.limits.Slots || slices.Contains(e.Copies, c) || p.touched(e.Addr) {
+		if len(e.Copies) >= p.limits.SlotsPerEngine || slices.Contains(e.Copies, c) || p.touched(e.Addr) {
 			continue
 		}
 		if best < 0 || len(e.Copies) < len(p.engines[best].Copies) {
@@ -208,7 +208,7 @@
 	if !wanted {
 		return math.MaxFloat64
 	}
-	return float64(p.count(c)) - float64(aim)*(1+p.limits.Slack)
+	return float64(p.count(c)) - float64(aim)*(1+p.limits.Tolerance)
 }
 
 // spared reports whether an engine may unload a copy: others must be able to
@@ -240,7 +240,7 @@
 func (p *plan) unloadUnwanted() {
 	for i, e := range p.engines {
 		for _, c := range slices.Clone(e.Copies) {
-			if _, wanted := p.aims[c]; wanted || len(p.moves) >= p.limits.Moves || !p.spared(e, c) {
+			if _, wanted := p.aims[c]; wanted || len(p.moves) >= p.limits.MaxMoves || !p.spared(e, c) {
 				continue
 			}
 			p.move(i, Unload, c)
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -39,7 +39,7 @@
 		} else {
 			e.Copies, e.Live = slices.DeleteFunc(e.Copies, drop), slices.DeleteFunc(e.Live, drop)
 		}
-		if len(e.Copies) > placement.DefaultLimits().Slots {
+		if len(e.Copies) > placement.DefaultLimits().SlotsPerEngine {
 			return fmt.Sprintf("%s holds %v", e.Addr, e.Copies)
 		}
 	}
@@ -76,10 +76,10 @@
 	models := 1 + r.IntN(len(h.engines))
 	versions := make([]int, models)
 	for range 3 { // changes of templates
-		var wants []placement.Want
+		var wants []placement.DesiredCopy
 		for m := range models {
 			versions[m] += r.IntN(2)
-			wants = append(wants, placement.Want{Copy: copyOf(m, versions[m]), Weight: r.Float64()})
+			wants = append(wants, placement.DesiredCopy{Copy: copyOf(m, versions[m]), Weight: r.Float64()})
 		}
 		if bad := settle(h, wants, limits); bad != "" {
 			return bad
@@ -88,14 +88,14 @@
 	return ""
 }
 
-func settle(h *hall, wants []placement.Want, limits placement.Limits) string {
+func settle(h *hall, wants []placement.DesiredCopy, limits placement.Limits) string {
 	for range 200 {
 		served := map[string]bool{}
 		for _, w := range wants {
 			served[w.Copy.Model] = h.served(w.Copy.Model)
 		}
 		moves := placement.Plan(wants, h.engines, limits)
-		if len(moves) > limits.Moves {
+		if len(moves) > limits.MaxMoves {
 			return fmt.Sprintf("%d moves at once", len(moves))
 		}
 		if len(moves) == 0 && len(h.loading) == 0 {
@@ -113,7 +113,7 @@
 	return "the plans never settle"
 }
 
-func settled(h *hall, wants []placement.Want) string {
+func settled(h *hall, wants []placement.DesiredCopy) string {
 	for _, w := range wants {
 		if !slices.ContainsFunc(h.engines, func(e placement.Engine) bool { return slices.Contains(e.Live, w.Copy) }) {
 			return fmt.Sprintf("%v is wanted and not loaded: %v", w.Copy, h.engines)
@@ -121,7 +121,7 @@
 	}
 	for _, e := range h.engines {
 		for _, c := range e.Copies {
-			if !slices.ContainsFunc(wants, func(w placement.Want) bool { return w.Copy == c }) {
+			if !slices.ContainsFunc(wants, func(w placement.DesiredCopy) bool { return w.Copy == c }) {
 				return fmt.Sprintf("%v is not wanted and still loaded", c)
 			}
 		}
--- a/daemon/upkeep/orders.go
+++ b/daemon/upkeep/orders.go
@@ -46,7 +46,7 @@
 	if len(engines) == 0 {
 		return
 	}
-	wants := placement.Wants(named(v), u.hallDemand(ctx, v))
+	wants := placement.DesiredCopies(named(v), u.hallDemand(ctx, v))
 	for _, m := range placement.Plan(wants, engines, placement.DefaultLimits()) {
 		u.order(ctx, v, held, m)
 	}
@@ -91,7 +91,7 @@
 	}
 	_ = g.Wait()
 	for _, d := range answers {
-		sum = sum.With(d)
+		sum = sum.Plus(d)
 	}
 	u.demand, u.demandAt = sum, time.Now()
 	return sum
