--- a/core/group/group.go
+++ b/core/group/group.go
@@ -1,11 +1,12 @@
 // Package group reserves memory on several engines at once, for a prompt that
-// is larger than any one of them.
+// needs more memory than any single engine has.
 //
-// A reservation is all or nothing. Members are always asked in the order of
-// their addresses, so that two requests can't each hold half of what the other
-// needs; a request that is refused gives back all that it has and tries others.
-// Each reservation has an expiry that its owner moves on while it lives, so
-// that the death of the owner frees everything.
+// A reservation is all or nothing. Reservations are always made in the order of
+// the members' addresses, so that two requests cannot deadlock by each holding
+// memory that the other needs. A request that is refused releases everything
+// that it has reserved and tries other engines. Each reservation has an expiry
+// that its owner extends while it runs, so that all memory is freed if the owner
+// fails.
 //
 // # Usage
 //
@@ -22,32 +23,33 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxMembers bounds the engines that one prompt may hold.
+// MaxMembers is the maximum number of engines in a group.
 const MaxMembers = 8
 
-// ErrTooLarge is a prompt for which all engines together have too little
-// memory, or too many would be needed.
+// ErrTooLarge reports that all engines together have too little memory for a
+// prompt, or that it would need more than [MaxMembers] of them.
 var ErrTooLarge = errors.New("no group of engines has enough memory")
 
 type (
-	// Candidate is an engine that could be a member.
+	// Candidate is an engine that could become a member of a group.
 	Candidate struct {
 		Addr  string
-		Free  int // tokens, as far as known
-		Total int // tokens that a group could have there if nobody else did
+		Free  int // estimated free memory, in tokens
+		Total int // memory usable by a group on the idle engine, in tokens
 	}
 
-	// Member is an engine and the tokens to reserve there.
+	// Member is an engine and the memory to reserve there, in tokens.
 	Member struct {
 		Addr   string
 		Tokens int
 	}
 )
 
-// Pick chooses the fewest engines with the most free memory that can hold the
-// tokens together, and returns them in the order of their addresses. The
-// tokens are spread in proportion to what is free, so that no member is filled
-// to the last.
+// Pick selects the fewest engines that together have enough free memory for the
+// tokens, those with the most free memory first, and returns them ordered by
+// address. The tokens are distributed in proportion to the free memory, so that
+// a group with memory to spare fills none of its members completely. Pick
+// returns [ErrTooLarge] if no group of at most [MaxMembers] has enough.
 func Pick(cs []Candidate, tokens int) ([]Member, error) {
 	cs = slices.Clone(cs)
 	slices.SortFunc(cs, func(a, b Candidate) int {
@@ -64,17 +66,17 @@
 	ms := make([]Member, n)
 	left := tokens
 	for i, c := range cs[:n] {
-		part := min(c.Free, (tokens*c.Free+free-1)/free, left)
-		ms[i] = Member{Addr: c.Addr, Tokens: part}
-		left -= part
+		share := min(c.Free, (tokens*c.Free+free-1)/free, left)
+		ms[i] = Member{Addr: c.Addr, Tokens: share}
+		left -= share
 	}
 	slices.SortFunc(ms, func(a, b Member) int { return cmp.Compare(a.Addr, b.Addr) })
 	return slices.DeleteFunc(ms, func(m Member) bool { return m.Tokens == 0 }), nil
 }
 
-// Reserve asks each member in turn. If one refuses, it releases those that
-// agreed, and also the one that may have agreed without saying so, and returns
-// the refusal.
+// Reserve reserves the memory of each member in turn. If a reservation fails,
+// Reserve releases the earlier ones and also the failed one, which may have
+// succeeded although its reply was lost, and returns the error.
 func Reserve(ctx context.Context, ms []Member, reserve func(context.Context, Member) error, release func(Member)) error {
 	for i, m := range ms {
 		if err := reserve(ctx, m); err != nil {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// Addrs returns the addresses of members.
+// Addrs returns the addresses of the members.
 func Addrs(ms []Member) []string {
 	out := make([]string, len(ms))
 	for i, m := range ms {
@@ -94,7 +96,7 @@
 	return out
 }
 
-// Release gives all members' memory back, in the reverse order.
+// Release releases the memory of all members, in reverse order.
 func Release(ms []Member, release func(Member)) {
 	for _, m := range slices.Backward(ms) {
 		release(m)
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -31,11 +31,12 @@
 	return cs, sum
 }
 
-// TestPickAgainstNaive: a group is found exactly if the largest engines have
-// enough, and it holds exactly what is needed, in order, within what is free.
+// TestPickAgainstNaive checks that Pick finds a group exactly if the engines with
+// the most free memory have enough, and that the members are ordered by address,
+// reserve exactly the tokens needed, and stay within their free memory.
 func TestPickAgainstNaive(t *testing.T) {
 	ps := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
-	ps.Property("enough, in order, and no more", prop.ForAll(func(free []int, tokens int) bool {
+	ps.Property("exact total, ordered by address, within free memory", prop.ForAll(func(free []int, tokens int) bool {
 		cs, sum := candidates(free)
 		ms, err := group.Pick(cs, tokens)
 		if sum < tokens {
@@ -55,13 +56,13 @@
 	ps.TestingRun(t)
 }
 
-// memory is a few engines' memory.
-type memory struct {
+// engineMemory is the free memory of several engines.
+type engineMemory struct {
 	mu   sync.Mutex
 	free map[string]int
 }
 
-func (m *memory) reserve(_ context.Context, x group.Member) error {
+func (m *engineMemory) reserve(_ context.Context, x group.Member) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.free[x.Addr] < x.Tokens {
@@ -71,13 +72,13 @@
 	return nil
 }
 
-// TestCrowdLosesNothing has many requests fight over few engines; each gets all
-// or nothing, and in the end all memory is free.
-func TestCrowdLosesNothing(t *testing.T) {
-	const engines, each, need = 5, 100, 250
-	m := &memory{free: map[string]int{}}
+// TestConcurrentReservationsLeakNothing has many requests compete for few engines.
+// Each reserves everything or nothing, and all memory is free at the end.
+func TestConcurrentReservationsLeakNothing(t *testing.T) {
+	const engines, total, need = 5, 100, 250
+	m := &engineMemory{free: map[string]int{}}
 	for i := range engines {
-		m.free[fmt.Sprintf("e%02d", i)] = each
+		m.free[fmt.Sprintf("e%02d", i)] = total
 	}
 	var w sync.WaitGroup
 	for i := range 40 {
@@ -94,33 +95,33 @@
 				if err != nil {
 					continue
 				}
-				got := map[string]bool{}
+				reserved := map[string]bool{}
 				err = group.Reserve(context.Background(), ms, func(ctx context.Context, x group.Member) error {
 					err := m.reserve(ctx, x)
-					got[x.Addr] = err == nil
+					reserved[x.Addr] = err == nil
 					return err
-				}, func(x group.Member) { m.giveBack(x, got) })
+				}, func(x group.Member) { m.release(x, reserved) })
 				if err == nil {
-					group.Release(ms, func(x group.Member) { m.giveBack(x, got) })
+					group.Release(ms, func(x group.Member) { m.release(x, reserved) })
 				}
 			}
 		})
 	}
 	w.Wait()
 	for a, f := range m.free {
-		if f != each {
-			t.Errorf("%s has %d of %d free at the end", a, f, each)
+		if f != total {
+			t.Errorf("%s has %d of %d free at the end", a, f, total)
 		}
 	}
 }
 
-// giveBack releases what was reserved, and nothing else: engines know
+// release releases only what was reserved, as engines do, which identify
 // reservations by id.
-func (m *memory) giveBack(x group.Member, got map[string]bool) {
+func (m *engineMemory) release(x group.Member, reserved map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if got[x.Addr] {
+	if reserved[x.Addr] {
 		m.free[x.Addr] += x.Tokens
-		got[x.Addr] = false
+		reserved[x.Addr] = false
 	}
 }
--- a/core/group/queue_test.go
+++ b/core/group/queue_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func TestQueueLetsOneGroupTry(t *testing.T) {
+func TestJoinReportsMoreUrgentGroup(t *testing.T) {
 	type wait struct {
 		id       string
 		priority int64
@@ -22,18 +22,18 @@
 		leave    bool
 	}
 	for name, tc := range map[string]struct {
-		before []wait
-		ask    wait
-		ahead  bool
+		before    []wait
+		ask       wait
+		outranked bool
 	}{
-		"alone":                    {nil, wait{id: "a", priority: 5}, false},
-		"behind a more urgent one": {[]wait{{id: "b", priority: 4}}, wait{id: "a", priority: 5}, true},
-		"before a less urgent one": {[]wait{{id: "b", priority: 6}}, wait{id: "a", priority: 5}, false},
-		"equal, by their ids":      {[]wait{{id: "b", priority: 5}}, wait{id: "a", priority: 5}, false},
-		"equal, the other way":     {[]wait{{id: "a", priority: 5}}, wait{id: "b", priority: 5}, true},
-		"behind one that left":     {[]wait{{id: "b", priority: 4}, {id: "b", leave: true}}, wait{id: "a", priority: 5}, false},
-		"behind one that is gone":  {[]wait{{id: "b", priority: 4}}, wait{id: "a", priority: 5, at: group.WaitTTL}, false},
-		"behind one that goes on":  {[]wait{{id: "b", priority: 4}, {id: "b", priority: 4, at: group.WaitTTL / 2}}, wait{id: "a", priority: 5, at: group.WaitTTL}, true},
+		"alone":                     {nil, wait{id: "a", priority: 5}, false},
+		"more urgent group waits":   {[]wait{{id: "b", priority: 4}}, wait{id: "a", priority: 5}, true},
+		"less urgent group waits":   {[]wait{{id: "b", priority: 6}}, wait{id: "a", priority: 5}, false},
+		"equal priority, lower id":  {[]wait{{id: "b", priority: 5}}, wait{id: "a", priority: 5}, false},
+		"equal priority, higher id": {[]wait{{id: "a", priority: 5}}, wait{id: "b", priority: 5}, true},
+		"more urgent group left":    {[]wait{{id: "b", priority: 4}, {id: "b", leave: true}}, wait{id: "a", priority: 5}, false},
+		"more urgent group expired": {[]wait{{id: "b", priority: 4}}, wait{id: "a", priority: 5, at: group.WaitTTL}, false},
+		"more urgent group renewed": {[]wait{{id: "b", priority: 4}, {id: "b", priority: 4, at: group.WaitTTL / 2}}, wait{id: "a", priority: 5, at: group.WaitTTL}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := group.NewQueue()
@@ -44,14 +44,14 @@
 				}
 				q.Join(w.id, w.priority, start.Add(w.at))
 			}
-			if got := q.Join(tc.ask.id, tc.ask.priority, start.Add(tc.ask.at)); got != tc.ahead {
-				t.Errorf("ahead %v, want %v", got, tc.ahead)
+			if got := q.Join(tc.ask.id, tc.ask.priority, start.Add(tc.ask.at)); got != tc.outranked {
+				t.Errorf("outranked %v, want %v", got, tc.outranked)
 			}
 		})
 	}
 }
 
-func TestQueueHoldsLessUrgentRequests(t *testing.T) {
+func TestQueueBlocksLessUrgentRequests(t *testing.T) {
 	const total = 400_000
 	q := group.NewQueue()
 	q.Join("a", 5, start)
@@ -59,26 +59,27 @@
 		priority int64
 		memory   int
 		at       time.Duration
-		held     bool
+		blocked  bool
 	}{
 		"less urgent":                {6, 20_000, 0, true},
 		"more urgent":                {4, 20_000, 0, false},
-		"as urgent":                  {5, 20_000, 0, false},
+		"equally urgent":             {5, 20_000, 0, false},
 		"less urgent, but small":     {6, 4_000, 0, false},
-		"after the group was silent": {6, 20_000, group.WaitTTL, false},
+		"less urgent, group expired": {6, 20_000, group.WaitTTL, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := q.MustWait(tc.priority, tc.memory, total, start.Add(tc.at)); got != tc.held {
-				t.Errorf("held %v, want %v", got, tc.held)
+			if got := q.MustWait(tc.priority, tc.memory, total, start.Add(tc.at)); got != tc.blocked {
+				t.Errorf("blocked %v, want %v", got, tc.blocked)
 			}
 		})
 	}
 }
 
-// TestWantedAgainstNaive compares with a scan of all sets of engines.
-func TestWantedAgainstNaive(t *testing.T) {
+// TestEnginesToWaitForAgainstNaive compares the result with the engines of equal
+// size that have the most free memory.
+func TestEnginesToWaitForAgainstNaive(t *testing.T) {
 	p := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
-	p.Property("wanted engines hold the prompt once they are free, and no fewer do", prop.ForAll(
+	p.Property("fewest engines that hold the prompt when idle, most free memory first", prop.ForAll(
 		func(free []int, tokens int) bool {
 			cs := make([]group.Candidate, len(free))
 			for i, f := range free {
@@ -89,13 +90,13 @@
 			if need > min(len(cs), group.MaxMembers) {
 				return got == nil
 			}
-			most := slices.Clone(free)
-			slices.SortFunc(most, func(a, b int) int { return b - a })
-			least := 100
+			sorted := slices.Clone(free)
+			slices.SortFunc(sorted, func(a, b int) int { return b - a })
+			minFree := 100
 			for _, a := range got {
-				least = min(least, cs[a[0]-'a'].Free)
+				minFree = min(minFree, cs[a[0]-'a'].Free)
 			}
-			return len(got) == need && (need == 0 || least == most[need-1])
+			return len(got) == need && (need == 0 || minFree == sorted[need-1])
 		},
 		gen.SliceOf(gen.IntRange(0, 100)).Map(func(s []int) []int { return s[:min(len(s), 12)] }), gen.IntRange(0, 1300),
 	))
