--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// demandHalfLife is how long a token asked for counts half.
+	// demandHalfLife is the half-life of a requested token's weight in the demand.
 	demandHalfLife = 5 * time.Minute
-	// leastDemand is the rate, in tokens a second, below which demand is
-	// forgotten.
-	leastDemand = 0.01
-	// demandPart is the weight of what is asked for, against how many
-	// workspaces name a copy.
-	demandPart = 0.8
+	// minDemand is the rate, in tokens per second, below which a copy's demand is
+	// removed.
+	minDemand = 0.01
+	// demandWeight is the weight of the token demand for a copy; the number of
+	// workspaces that name the copy has the remaining weight.
+	demandWeight = 0.8
 )
 
 type (
-	// Demand is a rate of tokens for each copy, in tokens a second.
+	// Demand is the rate of requested tokens per copy, in tokens per second.
 	Demand map[directory.Copy]float64
 
-	// Meter measures the demand that passes one daemon, as a mean that forgets.
-	// One goroutine owns it.
+	// Meter measures the demand that passes through one daemon, as an
+	// exponentially weighted moving average. It is not safe for concurrent use.
 	Meter struct {
-		rates Demand
-		at    time.Time
+		rates     Demand
+		decayedAt time.Time
 	}
 )
 
-// NewMeter returns a meter that has seen nothing.
-func NewMeter(now time.Time) *Meter { return &Meter{rates: Demand{}, at: now} }
+// NewMeter returns a meter without any demand.
+func NewMeter(now time.Time) *Meter { return &Meter{rates: Demand{}, decayedAt: now} }
 
 // Add counts the tokens of one request.
 func (m *Meter) Add(c directory.Copy, tokens int, now time.Time) {
@@ -39,7 +39,7 @@
 	m.rates[c] += float64(tokens) * math.Ln2 / demandHalfLife.Seconds()
 }
 
-// Demand returns the rates now.
+// Demand returns the rates at the given time.
 func (m *Meter) Demand(now time.Time) Demand {
 	m.decay(now)
 	out := make(Demand, len(m.rates))
@@ -50,11 +50,11 @@
 }
 
 func (m *Meter) decay(now time.Time) {
-	left := math.Exp2(-max(0, now.Sub(m.at).Seconds()) / demandHalfLife.Seconds())
-	m.at = now
+	remaining := math.Exp2(-max(0, now.Sub(m.decayedAt).Seconds()) / demandHalfLife.Seconds())
+	m.decayedAt = now
 	for c, r := range m.rates {
-		m.rates[c] = r * left
-		if m.rates[c] < leastDemand {
+		m.rates[c] = r * remaining
+		if m.rates[c] < minDemand {
 			delete(m.rates, c)
 		}
 	}
@@ -72,22 +72,23 @@
 	return out
 }
 
-// DesiredCopies returns what is wanted of the copies that templates name, by how many
-// workspaces name each and by how much of it is asked for. What is asked for
-// and not named is not wanted: the template has changed.
+// DesiredCopies returns the desired copies, which are those that templates name.
+// Each is weighted by the number of workspaces that name it and by its share of
+// the demand; the weights sum to 1. Demand for copies that are not named is
+// ignored, since their template has changed.
 func DesiredCopies(named map[directory.Copy]int, d Demand) []DesiredCopy {
-	names, asked := 0.0, 0.0
+	names, tokens := 0.0, 0.0
 	for c, n := range named {
 		names += float64(n)
-		asked += d[c]
+		tokens += d[c]
 	}
 	out := make([]DesiredCopy, 0, len(named))
 	for c, n := range named {
-		w := DesiredCopy{Copy: c, Weight: float64(n) / names}
-		if asked > 0 {
-			w.Weight = (1-demandPart)*w.Weight + demandPart*d[c]/asked
+		dc := DesiredCopy{Copy: c, Weight: float64(n) / names}
+		if tokens > 0 {
+			dc.Weight = (1-demandWeight)*dc.Weight + demandWeight*d[c]/tokens
 		}
-		out = append(out, w)
+		out = append(out, dc)
 	}
 	return out
 }
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,20 +1,21 @@
 // Package placement decides which engines of a hall hold which model copies.
-// It is a pure function from what is wanted and what is there to a few moves;
-// carrying them out, under the hall's lease and its fence, is the daemon's
-// work.
+// [Plan] is a pure function from the desired copies and the current state of the
+// engines to a few moves. The daemon carries the moves out, under the hall's
+// lease and its fence.
 //
-// # What a plan keeps
+// # Invariants of a plan
 //
-//   - Every wanted copy gets at least one engine, and more by its weight.
-//   - The last live copy of a model that is wanted is never unloaded, so that
-//     during a change of version the old one serves until the new one does.
-//   - No engine holds more copies than it has slots, not even for a moment: what
-//     has to go is unloaded first, and the load follows in a later plan.
-//   - Few moves at once, and none for small differences.
+//   - Every desired copy gets at least one engine, and more according to its
+//     weight.
+//   - The last live copy of a desired model is never unloaded, so that during a
+//     change of version the old version serves until the new one is live.
+//   - No engine ever holds more copies than it has slots: a copy that has to
+//     make room is unloaded first, and the load follows in a later plan.
+//   - A plan has few moves, and none for small deviations.
 //
 // # Usage
 //
-//	moves := placement.Plan(wants, engines, placement.DefaultLimits())
+//	moves := placement.Plan(desired, engines, placement.DefaultLimits())
 package placement
 
 import (
@@ -25,7 +26,7 @@
 	"slipcrank.example/core/directory"
 )
 
-// Action is what a move does.
+// Action is the kind of a move.
 type Action string
 
 // The actions.
@@ -35,18 +36,18 @@
 )
 
 type (
-	// DesiredCopy is a copy that templates name, with its part of the demand.
+	// DesiredCopy is a copy that templates name, with its share of the demand.
 	DesiredCopy struct {
 		Copy   directory.Copy
 		Weight float64
 	}
 
-	// Engine is an engine that takes work. Copies that it has been ordered to
-	// load count as held.
+	// Engine is an engine that accepts requests. Copies include those that the
+	// engine has been ordered to load.
 	Engine struct {
 		Addr   string
 		Copies []directory.Copy
-		Live   []directory.Copy // of Copies, those that can serve now
+		Live   []directory.Copy // the subset of Copies that can serve now
 	}
 
 	// Move is one order to one engine.
@@ -59,17 +60,17 @@
 	// Limits bound a plan.
 	Limits struct {
 		SlotsPerEngine int // copies that one engine can hold
-		MaxMoves       int // moves of one plan
-		// Tolerance is the part by which the count of copies may differ from its
-		// aim before a move is made.
+		MaxMoves       int // maximum number of moves in one plan
+		// Tolerance is the fraction by which the number of engines with a copy
+		// may deviate from its target before a move is made.
 		Tolerance float64
 	}
 
-	// plan is a plan in the making.
+	// plan is the state of a plan under construction.
 	plan struct {
 		limits  Limits
 		engines []Engine
-		aims    map[directory.Copy]int
+		targets map[directory.Copy]int
 		moves   []Move
 	}
 )
@@ -77,19 +78,19 @@
 // DefaultLimits returns the limits that daemons use.
 func DefaultLimits() Limits { return Limits{SlotsPerEngine: 2, MaxMoves: 4, Tolerance: 0.25} }
 
-// Plan returns the next moves. With nothing to change it returns none.
-func Plan(wants []DesiredCopy, engines []Engine, l Limits) []Move {
-	p := &plan{limits: l, engines: sorted(engines), aims: aims(wants, len(engines), l)}
-	wants = slices.Clone(wants)
-	slices.SortFunc(wants, func(a, b DesiredCopy) int { return p.byNeed(a.Copy, b.Copy) })
-	for _, w := range wants {
-		p.loadFor(w.Copy)
+// Plan returns the next moves, or none if nothing has to change.
+func Plan(desired []DesiredCopy, engines []Engine, l Limits) []Move {
+	p := &plan{limits: l, engines: sortedByAddr(engines), targets: targetCounts(desired, len(engines), l)}
+	desired = slices.Clone(desired)
+	slices.SortFunc(desired, func(a, b DesiredCopy) int { return p.compareCoverage(a.Copy, b.Copy) })
+	for _, d := range desired {
+		p.loadMissing(d.Copy)
 	}
-	p.unloadUnwanted()
+	p.unloadUndesired()
 	return p.moves
 }
 
-func sorted(engines []Engine) []Engine {
+func sortedByAddr(engines []Engine) []Engine {
 	out := slices.Clone(engines)
 	for i, e := range out {
 		out[i].Copies = slices.Clone(e.Copies)
@@ -98,28 +99,29 @@
 	return out
 }
 
-// aims returns how many engines each wanted copy should have: at least one,
-// and at most all.
-func aims(wants []DesiredCopy, engines int, l Limits) map[directory.Copy]int {
+// targetCounts returns the number of engines that each desired copy should
+// have: at least one, and at most all.
+func targetCounts(desired []DesiredCopy, engines int, l Limits) map[directory.Copy]int {
 	total := 0.0
-	for _, w := range wants {
-		total += w.Weight
+	for _, d := range desired {
+		total += d.Weight
 	}
 	out := map[directory.Copy]int{}
-	for _, w := range wants {
+	for _, d := range desired {
 		n := 1.0
 		if total > 0 {
-			n = math.Floor(w.Weight / total * float64(engines*l.SlotsPerEngine))
+			n = math.Floor(d.Weight / total * float64(engines*l.SlotsPerEngine))
 		}
-		out[w.Copy] = min(max(int(n), 1), engines)
+		out[d.Copy] = min(max(int(n), 1), engines)
 	}
 	return out
 }
 
-// byNeed orders copies by how much they lack, those with none first.
-func (p *plan) byNeed(a, b directory.Copy) int {
-	part := func(c directory.Copy) float64 { return float64(p.count(c)) / float64(p.aims[c]) }
-	return cmp.Or(cmp.Compare(part(a), part(b)), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Version, b.Version))
+// compareCoverage orders copies by the ratio of their engines to their target,
+// lowest first.
+func (p *plan) compareCoverage(a, b directory.Copy) int {
+	coverage := func(c directory.Copy) float64 { return float64(p.count(c)) / float64(p.targets[c]) }
+	return cmp.Or(cmp.Compare(coverage(a), coverage(b)), cmp.Compare(a.Model, b.Model), cmp.Compare(a.Version, b.Version))
 }
 
 func (p *plan) count(c directory.Copy) int {
@@ -132,7 +134,7 @@
 	return n
 }
 
-// live returns how many engines can serve the copy now.
+// live returns the number of engines that can serve the copy now.
 func (p *plan) live(c directory.Copy) int {
 	n := 0
 	for _, e := range p.engines {
@@ -143,11 +145,12 @@
 	return n
 }
 
-// loadFor loads a copy that has too few engines, or makes room for it.
-func (p *plan) loadFor(c directory.Copy) {
-	for p.count(c) < p.least(c) && len(p.moves) < p.limits.MaxMoves {
+// loadMissing adds moves that load a copy on too few engines, or that make room
+// for it.
+func (p *plan) loadMissing(c directory.Copy) {
+	for p.count(c) < p.minCount(c) && len(p.moves) < p.limits.MaxMoves {
 		if i := p.freeSlot(c); i >= 0 {
-			p.move(i, Load, c)
+			p.addMove(i, Load, c)
 			continue
 		}
 		if !p.makeRoom(c) {
@@ -156,17 +159,18 @@
 	}
 }
 
-// least returns the count below which copies are loaded.
-func (p *plan) least(c directory.Copy) int {
-	return max(1, int(math.Ceil(float64(p.aims[c])*(1-p.limits.Tolerance))))
+// minCount returns the number of engines below which a copy is loaded on more.
+func (p *plan) minCount(c directory.Copy) int {
+	return max(1, int(math.Ceil(float64(p.targets[c])*(1-p.limits.Tolerance))))
 }
 
-// freeSlot returns the engine with the fewest copies that has room and lacks
-// this one, or -1. An engine that has just been told to unload has none yet.
+// freeSlot returns the index of the engine with the fewest copies that has a free
+// slot and lacks c, or -1. Engines that already have a move in this plan are
+// skipped, since an unload does not free its slot at once.
 func (p *plan) freeSlot(c directory.Copy) int {
 	best := -1
 	for i, e := range p.engines {
-		if len(e.Copies) >= p.limits.SlotsPerEngine || slices.Contains(e.Copies, c) || p.touched(e.Addr) {
+		if len(e.Copies) >= p.limits.SlotsPerEngine || slices.Contains(e.Copies, c) || p.hasMove(e.Addr) {
 			continue
 		}
 		if best < 0 || len(e.Copies) < len(p.engines[best].Copies) {
@@ -176,79 +180,79 @@
 	return best
 }
 
-func (p *plan) touched(addr string) bool {
+func (p *plan) hasMove(addr string) bool {
 	return slices.ContainsFunc(p.moves, func(m Move) bool { return m.Addr == addr })
 }
 
-// makeRoom unloads the copy that can best be spared, on an engine that lacks
-// c, and reports whether there was one.
+// makeRoom adds a move that unloads the copy with the largest surplus from an
+// engine that lacks c, and reports whether there was one.
 func (p *plan) makeRoom(c directory.Copy) bool {
-	engine, victim, most := -1, directory.Copy{}, 0.0
+	engine, victim, maxSurplus := -1, directory.Copy{}, 0.0
 	for i, e := range p.engines {
-		if slices.Contains(e.Copies, c) || p.touched(e.Addr) {
+		if slices.Contains(e.Copies, c) || p.hasMove(e.Addr) {
 			continue
 		}
 		for _, x := range e.Copies {
-			if s := p.surplus(x); s > most && p.spared(e, x) {
-				engine, victim, most = i, x, s
+			if s := p.surplus(x); s > maxSurplus && p.canUnload(e, x) {
+				engine, victim, maxSurplus = i, x, s
 			}
 		}
 	}
 	if engine < 0 {
 		return false
 	}
-	p.move(engine, Unload, victim)
+	p.addMove(engine, Unload, victim)
 	return true
 }
 
-// surplus returns by how much a copy has more engines than its aim; all of an
-// unwanted one are surplus.
+// surplus returns by how much the number of engines with a copy exceeds its
+// target and the tolerance. The surplus of an undesired copy is unlimited.
 func (p *plan) surplus(c directory.Copy) float64 {
-	aim, wanted := p.aims[c]
-	if !wanted {
+	target, isDesired := p.targets[c]
+	if !isDesired {
 		return math.MaxFloat64
 	}
-	return float64(p.count(c)) - float64(aim)*(1+p.limits.Tolerance)
+	return float64(p.count(c)) - float64(target)*(1+p.limits.Tolerance)
 }
 
-// spared reports whether an engine may unload a copy: others must be able to
-// serve its model, in this version or, if this version is not wanted any
-// more, in one that is.
-func (p *plan) spared(e Engine, c directory.Copy) bool {
+// canUnload reports whether an engine may unload a copy: another engine must be
+// able to serve the model, in this version or, if this version is no longer
+// desired, in one that is. A model without a desired version needs no engine.
+func (p *plan) canUnload(e Engine, c directory.Copy) bool {
 	if !slices.Contains(e.Live, c) {
-		return false // it is still being loaded
+		return false // still being loaded
 	}
 	if p.live(c) > 1 {
 		return true
 	}
-	if _, wanted := p.aims[c]; wanted {
+	if _, isDesired := p.targets[c]; isDesired {
 		return false
 	}
-	modelWanted := false
-	for w := range p.aims {
-		if w.Model == c.Model {
-			modelWanted = true
-			if p.live(w) > 0 {
+	modelDesired := false
+	for other := range p.targets {
+		if other.Model == c.Model {
+			modelDesired = true
+			if p.live(other) > 0 {
 				return true
 			}
 		}
 	}
-	return !modelWanted
+	return !modelDesired
 }
 
-// unloadUnwanted takes off copies that no template names.
-func (p *plan) unloadUnwanted() {
+// unloadUndesired adds moves that unload copies that no template names.
+func (p *plan) unloadUndesired() {
 	for i, e := range p.engines {
 		for _, c := range slices.Clone(e.Copies) {
-			if _, wanted := p.aims[c]; wanted || len(p.moves) >= p.limits.MaxMoves || !p.spared(e, c) {
+			if _, isDesired := p.targets[c]; isDesired || len(p.moves) >= p.limits.MaxMoves || !p.canUnload(e, c) {
 				continue
 			}
-			p.move(i, Unload, c)
+			p.addMove(i, Unload, c)
 		}
 	}
 }
 
-func (p *plan) move(i int, a Action, c directory.Copy) {
+func (p *plan) addMove(i int, a Action, c directory.Copy) {
 	e := &p.engines[i]
 	p.moves = append(p.moves, Move{Addr: e.Addr, Action: a, Copy: c})
 	if a == Load {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -18,20 +18,22 @@
 	return directory.Copy{Model: fmt.Sprint("m", model), Version: fmt.Sprint(version)}
 }
 
-// hall is a few engines that carry out moves; loads take a round.
+// hall simulates engines that carry out moves. A load takes one round.
 type hall struct {
 	engines []placement.Engine
 	loading []placement.Move
 }
 
-func (h *hall) round(moves []placement.Move) string {
+// apply completes the loads of the previous round and carries out the moves. It
+// returns what violates the limits, or "".
+func (h *hall) apply(moves []placement.Move) string {
 	for _, m := range h.loading {
-		i := h.at(m.Addr)
+		i := h.indexOf(m.Addr)
 		h.engines[i].Live = append(h.engines[i].Live, m.Copy)
 	}
 	h.loading = nil
 	for _, m := range moves {
-		e := &h.engines[h.at(m.Addr)]
+		e := &h.engines[h.indexOf(m.Addr)]
 		drop := func(c directory.Copy) bool { return c == m.Copy }
 		if m.Action == placement.Load {
 			e.Copies = append(e.Copies, m.Copy)
@@ -46,7 +48,7 @@
 	return ""
 }
 
-func (h *hall) at(addr string) int {
+func (h *hall) indexOf(addr string) int {
 	return slices.IndexFunc(h.engines, func(e placement.Engine) bool { return e.Addr == addr })
 }
 
@@ -56,17 +58,17 @@
 	})
 }
 
-// TestPlansSettle changes what is wanted again and again, and checks each plan
-// and the state that the plans settle in.
-func TestPlansSettle(t *testing.T) {
+// TestPlansConverge changes the desired copies several times, and checks each plan
+// and the state in which no more moves are planned.
+func TestPlansConverge(t *testing.T) {
 	ps := gopter.DefaultTestParametersWithSeed(1)
 	ps.MinSuccessfulTests = 200
 	p := gopter.NewProperties(ps)
-	p.Property("few moves, no model lost, everything wanted served", prop.ForAll(play, gen.UInt64()))
+	p.Property("few moves, no model lost, all desired copies served", prop.ForAll(simulate, gen.UInt64()))
 	p.TestingRun(t)
 }
 
-func play(seed uint64) string {
+func simulate(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 1))
 	limits := placement.DefaultLimits()
 	h := &hall{}
@@ -75,34 +77,34 @@
 	}
 	models := 1 + r.IntN(len(h.engines))
 	versions := make([]int, models)
-	for range 3 { // changes of templates
-		var wants []placement.DesiredCopy
+	for range 3 { // template changes
+		var desired []placement.DesiredCopy
 		for m := range models {
 			versions[m] += r.IntN(2)
-			wants = append(wants, placement.DesiredCopy{Copy: copyOf(m, versions[m]), Weight: r.Float64()})
+			desired = append(desired, placement.DesiredCopy{Copy: copyOf(m, versions[m]), Weight: r.Float64()})
 		}
-		if bad := settle(h, wants, limits); bad != "" {
-			return bad
+		if failure := planUntilStable(h, desired, limits); failure != "" {
+			return failure
 		}
 	}
 	return ""
 }
 
-func settle(h *hall, wants []placement.DesiredCopy, limits placement.Limits) string {
+func planUntilStable(h *hall, desired []placement.DesiredCopy, limits placement.Limits) string {
 	for range 200 {
 		served := map[string]bool{}
-		for _, w := range wants {
+		for _, w := range desired {
 			served[w.Copy.Model] = h.served(w.Copy.Model)
 		}
-		moves := placement.Plan(wants, h.engines, limits)
+		moves := placement.Plan(desired, h.engines, limits)
 		if len(moves) > limits.MaxMoves {
-			return fmt.Sprintf("%d moves at once", len(moves))
+			return fmt.Sprintf("%d moves in one plan", len(moves))
 		}
 		if len(moves) == 0 && len(h.loading) == 0 {
-			return settled(h, wants)
+			return checkStable(h, desired)
 		}
-		if bad := h.round(moves); bad != "" {
-			return bad
+		if failure := h.apply(moves); failure != "" {
+			return failure
 		}
 		for m, was := range served {
 			if was && !h.served(m) {
@@ -110,19 +112,19 @@
 			}
 		}
 	}
-	return "the plans never settle"
+	return "the plans do not converge"
 }
 
-func settled(h *hall, wants []placement.DesiredCopy) string {
-	for _, w := range wants {
+func checkStable(h *hall, desired []placement.DesiredCopy) string {
+	for _, w := range desired {
 		if !slices.ContainsFunc(h.engines, func(e placement.Engine) bool { return slices.Contains(e.Live, w.Copy) }) {
-			return fmt.Sprintf("%v is wanted and not loaded: %v", w.Copy, h.engines)
+			return fmt.Sprintf("%v is desired but not live: %v", w.Copy, h.engines)
 		}
 	}
 	for _, e := range h.engines {
 		for _, c := range e.Copies {
-			if !slices.ContainsFunc(wants, func(w placement.DesiredCopy) bool { return w.Copy == c }) {
-				return fmt.Sprintf("%v is not wanted and still loaded", c)
+			if !slices.ContainsFunc(desired, func(w placement.DesiredCopy) bool { return w.Copy == c }) {
+				return fmt.Sprintf("%v is not desired but still loaded", c)
 			}
 		}
 	}
