--- a/core/emulate/emulate.go
+++ b/core/emulate/emulate.go
@@ -115,7 +115,7 @@
 // back once, when they are told.
 func Play(s Scenario, judge Rule, seed uint64) Day {
 	draws := rand.New(rand.NewPCG(seed, 2))
-	f := newFleet(s.Engine, schedule.NewBoard(1, schedule.WithRandom(draws.Float64)))
+	f := newFleet(s.Engine, schedule.New(1, schedule.WithRandom(draws.Float64)))
 	servers := f.servers(s.Engines)
 	asked := s.requests(seed)
 	due := slices.Clone(asked)
@@ -139,15 +139,15 @@
 func (f *fleet) offer(servers []backend.Server, r *request, wait time.Duration, judge Rule) (admission.Refusal, bool) {
 	p, _ := f.board.Place(r.comes, site.Service{Name: serviceName, Engine: &f.engine}, servers, schedule.Request{
 		Work: r.work, Objective: r.load.Objective - (r.comes - r.arrived), Gap: r.load.Gap,
-		Workspace: schedule.WorkspaceOf(r.workspace),
+		Workspace: schedule.HashWorkspace(r.workspace),
 	})
 	no, refused := judge(admission.Request{
 		Stream: true, Left: wait - (r.comes - r.arrived), Objective: r.load.Objective,
-		First: p.First, Idle: p.Idle, Displaces: p.Displaces, Engines: p.Engines, Spare: p.Spare,
-		Price: p.Part.Price, Over: p.Part.Over, Full: p.Full,
+		First: p.FirstToken, Idle: p.IdleFirstToken, Displaces: p.DisplacementRatio, Engines: p.EnginesFilled, Spare: p.SpareFraction,
+		Price: p.Share.Weight, Over: p.Share.OverShare, Full: p.SlotScarcity,
 	}, r.back)
 	if refused {
-		f.board.Ended(p.ID)
+		f.board.RecordEnd(p.ID)
 		return no, true
 	}
 	f.begin(r, p)
--- a/core/emulate/fleet.go
+++ b/core/emulate/fleet.go
@@ -43,13 +43,13 @@
 	// fleet is all engines.
 	fleet struct {
 		engine  site.Engine
-		board   *schedule.Board
+		board   *schedule.Scheduler
 		members map[string]*member
 		now     time.Duration
 	}
 )
 
-func newFleet(e site.Engine, b *schedule.Board) *fleet {
+func newFleet(e site.Engine, b *schedule.Scheduler) *fleet {
 	return &fleet{engine: e, board: b, members: map[string]*member{}}
 }
 
@@ -119,7 +119,7 @@
 // step gives a request the tokens of one pass.
 func (f *fleet) step(r *request, now time.Duration) {
 	if r.wrote == 0 {
-		f.board.Started(r.placed.ID, now)
+		f.board.RecordStart(r.placed.ID, now)
 		r.late = now-r.arrived > r.load.Objective
 	} else {
 		r.late = r.late || now-r.wrote > r.load.Gap
@@ -127,7 +127,7 @@
 	r.wrote, r.left = now, r.left-max(f.engine.Stride, 1)
 	if r.left <= 0 {
 		r.done = true
-		f.board.Ended(r.placed.ID)
+		f.board.RecordEnd(r.placed.ID)
 	}
 }
 
--- a/core/schedule/apart_test.go
+++ b/core/schedule/apart_test.go
@@ -19,21 +19,21 @@
 
 // TestCopiesMeet places a request and then another one, which may be a copy.
 func TestCopiesMeet(t *testing.T) {
-	first := Request{Mark: 7, Objective: time.Second}
+	first := Request{Fingerprint: 7, Objective: time.Second}
 	for name, tc := range map[string]struct {
 		then  Request
 		after time.Duration
 		same  bool
 		ok    bool
 	}{
-		"a copy":                 {Request{Mark: 7, Objective: time.Second}, 0, true, true},
-		"another request":        {Request{Mark: 8, Objective: time.Second}, 0, false, true},
-		"a copy of a late one":   {Request{Mark: 7, Objective: time.Second}, 2 * time.Second, false, true},
-		"a suspect's copy":       {Request{Mark: 7, Apart: true}, 0, true, true},
-		"a copy that runs alone": {Request{Mark: 7, Apart: true, Single: true}, 0, true, false},
+		"a copy":                 {Request{Fingerprint: 7, Objective: time.Second}, 0, true, true},
+		"another request":        {Request{Fingerprint: 8, Objective: time.Second}, 0, false, true},
+		"a copy of a late one":   {Request{Fingerprint: 7, Objective: time.Second}, 2 * time.Second, false, true},
+		"a suspect's copy":       {Request{Fingerprint: 7, Isolated: true}, 0, true, true},
+		"a copy that runs alone": {Request{Fingerprint: 7, Isolated: true, OnlyCopy: true}, 0, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBoard(1)
+			b := New(1)
 			servers := plainServers(2)
 			p, _ := b.Place(0, site.Service{Name: "plain"}, servers, first)
 			q, ok := b.Place(tc.after, site.Service{Name: "plain"}, servers, tc.then)
@@ -49,23 +49,23 @@
 func TestSuspectsRunApart(t *testing.T) {
 	servers := plainServers(6)
 	used := map[string]bool{}
-	b := NewBoard(1)
+	b := New(1)
 	for n := range servers {
-		p, ok := b.Place(0, site.Service{Name: "plain"}, servers, Request{Mark: uint64(n) + 1, Apart: true, Single: true})
+		p, ok := b.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: uint64(n) + 1, Isolated: true, OnlyCopy: true})
 		if !ok || used[p.Lead] {
 			t.Errorf("suspect %d: placed %v on %q", n, ok, p.Lead)
 		}
 		used[p.Lead] = true
 	}
-	if p, ok := b.Place(0, site.Service{Name: "plain"}, servers, Request{Mark: 99, Apart: true, Single: true}); ok {
+	if p, ok := b.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: 99, Isolated: true, OnlyCopy: true}); ok {
 		t.Errorf("one more than there are servers is placed on %s", p.Lead)
 	}
-	if _, ok := b.Place(0, site.Service{Name: "plain"}, servers, Request{Mark: 99, Apart: true}); !ok {
+	if _, ok := b.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: 99, Isolated: true}); !ok {
 		t.Error("one more, which need not be single, is not placed")
 	}
 	met := map[string]bool{}
 	for host := range uint32(5) {
-		p, _ := NewBoard(host+2).Place(0, site.Service{Name: "plain"}, servers, Request{Mark: 5, Apart: true, Copied: true})
+		p, _ := New(host+2).Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: 5, Isolated: true, CopiesFailed: true})
 		met[p.Lead] = true
 	}
 	if len(met) != 1 {
@@ -80,9 +80,9 @@
 		"three servers": {3, 1}, "eight": {8, 2}, "eighteen": {18, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, used := NewBoard(1), map[string]bool{}
+			b, used := New(1), map[string]bool{}
 			for n := range 2 * tc.servers {
-				p, ok := b.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{Mark: uint64(n) + 1, Workspace: 5, Apart: true})
+				p, ok := b.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{Fingerprint: uint64(n) + 1, Workspace: 5, Isolated: true})
 				if !ok {
 					t.Fatal("not placed")
 				}
@@ -91,7 +91,7 @@
 			if len(used) != tc.want {
 				t.Errorf("%d suspects of a workspace run on %d servers, want %d", 2*tc.servers, len(used), tc.want)
 			}
-			if p, ok := b.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{Mark: 99, Workspace: 6, Apart: true, Single: true}); !ok || used[p.Lead] {
+			if p, ok := b.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{Fingerprint: 99, Workspace: 6, Isolated: true, OnlyCopy: true}); !ok || used[p.Lead] {
 				t.Errorf("another workspace's is placed %v on %s", ok, p.Lead)
 			}
 		})
--- a/core/schedule/choose.go
+++ b/core/schedule/choose.go
@@ -23,7 +23,7 @@
 	plan struct {
 		lead    *state
 		helpers []*state
-		shares  []Share
+		shares  []MemoryShare
 		fits    bool
 		cost    float64
 		harm    float64       // the part of the cost that falls on others
@@ -63,26 +63,26 @@
 )
 
 // choose fills in the way to place r that costs least, led by one of the leads.
-func (b *Board) choose(now time.Duration, e *site.Engine, servers, leads []*backend.Server, r Request, p *Placement) {
+func (b *Scheduler) choose(now time.Duration, e *site.Engine, servers, leads []*backend.Server, r Request, p *Placement) {
 	c := choice{engine: e, request: r, value: Value(e, r.Work), draw: b.random(), scratch: &b.scratch}
 	b.predict(&c, now, servers, leads, p.Service)
 	best := c.best()
-	p.Lead, p.First, p.Shares = best.lead.server.ID, best.first, best.shares
+	p.Lead, p.FirstToken, p.MemoryShares = best.lead.server.ID, best.first, best.shares
 	p.Fits = best.fits
-	p.Engines = float64(r.Work.Prompt+r.Work.Answer) / float64(room(e))
-	p.Spare = max(1-float64(maxHelpers+1)/float64(len(servers)), 0)
-	p.Idle = idleRead(e, r.Work.Prompt, len(servers))
-	p.Pass = passTime(e, best.lead.running+1, best.lead.context+r.Work.Prompt)
-	p.LeadRuns, p.LeadReads = best.lead.running, best.lead.reading
-	p.Displaces = (best.harm + displaced(e, c.states, r)) / (c.value * kept(best.first, r.Objective))
-	p.Part, p.Full = b.part(e, servers, r), full(slotsTaken(c.states))
+	p.EnginesFilled = float64(r.Work.Prompt+r.Work.Answer) / float64(room(e))
+	p.SpareFraction = max(1-float64(maxHelpers+1)/float64(len(servers)), 0)
+	p.IdleFirstToken = idleRead(e, r.Work.Prompt, len(servers))
+	p.PassTime = passTime(e, best.lead.running+1, best.lead.context+r.Work.Prompt)
+	p.LeadRunning, p.LeadBacklog = best.lead.running, best.lead.reading
+	p.DisplacementRatio = (best.harm + displaced(e, c.states, r)) / (c.value * kept(best.first, r.Objective))
+	p.Share, p.SlotScarcity = b.part(e, servers, r), full(slotsTaken(c.states))
 	for _, h := range best.helpers {
 		p.Helpers = append(p.Helpers, h.server.ID)
 	}
 }
 
 // predict fills in the engines of a choice.
-func (b *Board) predict(c *choice, now time.Duration, servers, leads []*backend.Server, service string) {
+func (b *Scheduler) predict(c *choice, now time.Duration, servers, leads []*backend.Server, service string) {
 	s := &b.scratch
 	if len(s.pool) < len(servers) {
 		s.pool = make([]state, len(servers))
@@ -115,7 +115,7 @@
 			best = p
 			best.helpers = slices.Clone(p.helpers) // the next one reuses them
 		}
-		if k == 1 && r.Apart && best.fits {
+		if k == 1 && r.Isolated && best.fits {
 			break // so that one server alone can end
 		}
 		if k == 1 && best.harm == 0 && float64(best.first) < alone*float64(r.Objective) {
@@ -221,7 +221,7 @@
 			break
 		}
 		n := min(free, lacking)
-		c.shares = append(c.shares, Share{Server: h.server.ID, Tokens: n})
+		c.shares = append(c.shares, MemoryShare{Server: h.server.ID, Tokens: n})
 		lacking -= n
 	}
 	if c.fits = lacking <= 0; !c.fits {
--- a/core/schedule/choose_test.go
+++ b/core/schedule/choose_test.go
@@ -16,14 +16,14 @@
 	for _, tokens := range []int{5000, 45_000, 300_000} {
 		for name, load := range map[string]int{"idle": 0, "loaded": 400} {
 			b.Run(fmt.Sprintf("%d/%s", tokens, name), func(b *testing.B) {
-				board, ss := schedule.NewBoard(1), servers(60)
+				board, ss := schedule.New(1), servers(60)
 				for n := range load {
-					board.Heard(schedule.Placement{
+					board.AddRemote(schedule.Placement{
 						ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: ss[n%len(ss)].ID,
 						Workspace: uint32(n % 24), Work: short.Work, Gap: short.Gap, Objective: short.Objective,
 					})
 					if n%4 > 0 {
-						board.Started(schedule.ID{Host: 2, Number: uint32(n)}, 0)
+						board.RecordStart(schedule.ID{Host: 2, Number: uint32(n)}, 0)
 					}
 				}
 				r := long
@@ -31,7 +31,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					p, _ := board.Place(0, service, ss, r)
-					board.Ended(p.ID)
+					board.RecordEnd(p.ID)
 				}
 			})
 		}
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -20,9 +20,9 @@
 	at    time.Duration
 }
 
-// Passed notes that a server took so long from one event of a stream to the
+// RecordPass notes that a server took so long from one event of a stream to the
 // next, where the model says expected.
-func (b *Board) Passed(server string, took, expected, now time.Duration) {
+func (b *Scheduler) RecordPass(server string, took, expected, now time.Duration) {
 	if expected <= 0 {
 		return
 	}
@@ -39,7 +39,7 @@
 
 // slowness is by how much a server is slower than the model, 1 for one that
 // is sound or not known.
-func (b *Board) slowness(server string, now time.Duration) float64 {
+func (b *Scheduler) slowness(server string, now time.Duration) float64 {
 	p, ok := b.paces[server]
 	if !ok || now-p.at > paceLife || p.ratio < usualPace {
 		return 1
--- a/core/schedule/part.go
+++ b/core/schedule/part.go
@@ -20,21 +20,21 @@
 )
 
 type (
-	// Part is how a request's workspace stands beside others on the engines of
+	// WorkspaceShare is how a request's workspace stands beside others on the engines of
 	// its service, by what is placed there. Hosts know it from placements alone:
 	// nothing else is told, and it is as old as they are.
-	Part struct {
-		// Price is by how much what its requests displace counts: the part of
+	WorkspaceShare struct {
+		// Weight is by how much what its requests displace counts: the part of
 		// the engines' time that the workspace holds, beside the mean of that
 		// part over all of that time. So over all that is placed the mean is 1,
 		// and what a workspace that crowds out others pays more, others pay less.
-		Price float64
+		Weight float64
 		// Fraction is what the workspace holds of the engines' time, from 0 to 1,
 		// and Workspaces how many hold any, this one among them.
 		Fraction   float64
 		Workspaces int
-		// Over reports whether that is much more than an even part.
-		Over bool
+		// OverShare reports whether that is much more than an even part.
+		OverShare bool
 	}
 
 	// holders are the engines' time that is given to each workspace, in the
@@ -45,10 +45,10 @@
 	}
 )
 
-// WorkspaceOf returns the number by which hosts tell each other whose a
+// HashWorkspace returns the number by which hosts tell each other whose a
 // placement is, zero for an empty name. Two workspaces with the same number, a
 // chance of 1 in 24 that any two of 19,000 have it, count as one.
-func WorkspaceOf(name string) uint32 {
+func HashWorkspace(name string) uint32 {
 	if name == "" {
 		return 0
 	}
@@ -58,7 +58,7 @@
 // part compares what a request's workspace holds already with what others hold.
 // The request itself doesn't count: a prompt of 500,000 tokens keeps an engine
 // busy for 20 s, and would make any workspace look like a crowd.
-func (b *Board) part(e *site.Engine, servers []*backend.Server, r Request) Part {
+func (b *Scheduler) part(e *site.Engine, servers []*backend.Server, r Request) WorkspaceShare {
 	hs := &b.scratch.holders
 	clear(hs.index)
 	hs.busy = hs.busy[:0]
@@ -92,21 +92,21 @@
 }
 
 // partOf returns the part of the first of the workspaces that hold so much.
-func partOf(busy []time.Duration) Part {
+func partOf(busy []time.Duration) WorkspaceShare {
 	var all, squares float64
 	for _, d := range busy {
 		all += d.Seconds()
 		squares += d.Seconds() * d.Seconds()
 	}
 	if squares == 0 {
-		return Part{Price: 1}
+		return WorkspaceShare{Weight: 1}
 	}
 	fraction := busy[0].Seconds() / all
-	return Part{
-		Price:      min(max(fraction*all*all/squares, leastPrice), mostPrice),
+	return WorkspaceShare{
+		Weight:     min(max(fraction*all*all/squares, leastPrice), mostPrice),
 		Fraction:   fraction,
 		Workspaces: len(busy),
-		Over:       fraction*float64(len(busy)) > evenTimes,
+		OverShare:  fraction*float64(len(busy)) > evenTimes,
 	}
 }
 
--- a/core/schedule/part_test.go
+++ b/core/schedule/part_test.go
@@ -9,10 +9,10 @@
 )
 
 // hold has another host place n long prompts of a workspace.
-func hold(b *schedule.Board, workspace string, n int) {
-	ss, w := servers(18), schedule.WorkspaceOf(workspace)
+func hold(b *schedule.Scheduler, workspace string, n int) {
+	ss, w := servers(18), schedule.HashWorkspace(workspace)
 	for i := range n {
-		b.Heard(schedule.Placement{
+		b.AddRemote(schedule.Placement{
 			ID: schedule.ID{Host: w, Number: uint32(i)}, Service: service.Name, Lead: ss[i%len(ss)].ID, Workspace: w,
 			Work: long.Work, Gap: long.Gap, Objective: long.Objective,
 		})
@@ -39,15 +39,15 @@
 		"less than the least one": {map[string]int{"a": 17, "b": 1}, "c", 0.25, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := schedule.NewBoard(1)
+			b := schedule.New(1)
 			for w, n := range tc.held {
 				hold(b, w, n)
 			}
 			r := long
-			r.Workspace = schedule.WorkspaceOf(tc.asks)
-			p := place(t, b, servers(18), r).Part
-			if math.Abs(p.Price-tc.price) > 1e-9 || p.Over != tc.over {
-				t.Errorf("price %.4f, over %v; want %.4f, %v", p.Price, p.Over, tc.price, tc.over)
+			r.Workspace = schedule.HashWorkspace(tc.asks)
+			p := place(t, b, servers(18), r).Share
+			if math.Abs(p.Weight-tc.price) > 1e-9 || p.OverShare != tc.over {
+				t.Errorf("price %.4f, over %v; want %.4f, %v", p.Weight, p.OverShare, tc.price, tc.over)
 			}
 		})
 	}
@@ -57,7 +57,7 @@
 // one pays more, others pay less.
 func TestMeanPriceIsOne(t *testing.T) {
 	counts := []int{7, 3, 5, 4}
-	b := schedule.NewBoard(1)
+	b := schedule.New(1)
 	all, sum := 0, 0.0
 	for i, n := range counts {
 		hold(b, fmt.Sprint(i), n)
@@ -65,10 +65,10 @@
 	}
 	for i, n := range counts {
 		r := long
-		r.Workspace = schedule.WorkspaceOf(fmt.Sprint(i))
+		r.Workspace = schedule.HashWorkspace(fmt.Sprint(i))
 		p := place(t, b, servers(18), r)
-		sum += p.Part.Price * float64(n) / float64(all)
-		b.Ended(p.ID)
+		sum += p.Share.Weight * float64(n) / float64(all)
+		b.RecordEnd(p.ID)
 	}
 	if math.Abs(sum-1) > 1e-9 {
 		t.Errorf("the mean price is %.5f", sum)
@@ -79,14 +79,14 @@
 // lengths: what it holds already counts, and not what it asks for.
 func TestLongPromptIsNoCrowdByItself(t *testing.T) {
 	for _, prompt := range []int{5000, 45_000, 190_000, 600_000} {
-		b := schedule.NewBoard(1)
+		b := schedule.New(1)
 		for _, w := range []string{"a", "b", "c", "d"} {
 			hold(b, w, 2)
 		}
 		r := long
-		r.Work.Prompt, r.Workspace = prompt, schedule.WorkspaceOf("a")
-		if p := place(t, b, servers(18), r).Part; p.Price != 1 || p.Over {
-			t.Errorf("a prompt of %d tokens has price %.2f, over %v", prompt, p.Price, p.Over)
+		r.Work.Prompt, r.Workspace = prompt, schedule.HashWorkspace("a")
+		if p := place(t, b, servers(18), r).Share; p.Weight != 1 || p.OverShare {
+			t.Errorf("a prompt of %d tokens has price %.2f, over %v", prompt, p.Weight, p.OverShare)
 		}
 	}
 }
@@ -94,19 +94,19 @@
 // TestReadPromptsHoldLess has two workspaces with as many prompts, of which one
 // has been read.
 func TestReadPromptsHoldLess(t *testing.T) {
-	b := schedule.NewBoard(1)
+	b := schedule.New(1)
 	hold(b, "reads", 4)
 	hold(b, "writes", 4)
 	for i := range uint32(4) {
-		b.Started(schedule.ID{Host: schedule.WorkspaceOf("writes"), Number: i}, 0)
+		b.RecordStart(schedule.ID{Host: schedule.HashWorkspace("writes"), Number: i}, 0)
 	}
 	of := map[string]float64{}
 	for _, w := range []string{"reads", "writes"} {
 		r := short
-		r.Workspace = schedule.WorkspaceOf(w)
+		r.Workspace = schedule.HashWorkspace(w)
 		p := place(t, b, servers(18), r)
-		of[w] = p.Part.Fraction
-		b.Ended(p.ID)
+		of[w] = p.Share.Fraction
+		b.RecordEnd(p.ID)
 	}
 	if of["writes"] > 0.2 || of["reads"] < 0.8 {
 		t.Errorf("they hold %v", of)
@@ -120,16 +120,16 @@
 func BenchmarkPlaceAmongWorkspaces(b *testing.B) {
 	for _, workspaces := range []int{1, 40, 1500} {
 		b.Run(fmt.Sprint(workspaces), func(b *testing.B) {
-			board, ss := schedule.NewBoard(1), servers(75)
+			board, ss := schedule.New(1), servers(75)
 			for n := range 1500 {
-				board.Heard(schedule.Placement{
+				board.AddRemote(schedule.Placement{
 					ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: ss[n%len(ss)].ID,
 					Workspace: uint32(n % workspaces), Work: short.Work, Gap: short.Gap, Objective: short.Objective,
 				})
 			}
 			for b.Loop() {
 				p, _ := board.Place(0, service, ss, short)
-				board.Ended(p.ID)
+				board.RecordEnd(p.ID)
 			}
 		})
 	}
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -1,6 +1,6 @@
 // Package schedule chooses which backend servers run a request.
 //
-// A [Board] holds what runs where: the placements of this host, and those
+// A [Scheduler] holds what runs where: the placements of this host, and those
 // that other hosts tell of. From them and the published model of the engines
 // it predicts, for each way to place a request, when its first token comes
 // and how long the streams beside it stand still, and takes the way that
@@ -50,18 +50,18 @@
 		Objective, Gap time.Duration
 		// Hall is where the request came in.
 		Hall string
-		// Workspace is whose it is, by [WorkspaceOf].
+		// Workspace is whose it is, by [HashWorkspace].
 		Workspace uint32
 		// Avoid are servers that have failed it.
 		Avoid map[string]bool
 		// LeadOnly are servers that may lead it, and read nothing for others.
 		LeadOnly map[string]bool
-		// Mark is the same for copies of one request; zero for none.
-		Mark uint64
-		// Apart asks for a server on which no other such request runs, and Single
-		// beside it that no copy runs anywhere. Copied says that several copies of
+		// Fingerprint is the same for copies of one request; zero for none.
+		Fingerprint uint64
+		// Isolated asks for a server on which no other such request runs, and OnlyCopy
+		// beside it that no copy runs anywhere. CopiesFailed says that several copies of
 		// it have failed together.
-		Apart, Single, Copied bool
+		Isolated, OnlyCopy, CopiesFailed bool
 	}
 
 	// Placement is a request on its servers.
@@ -71,51 +71,51 @@
 		// Lead writes the answer; Helpers read parts of the prompt.
 		Lead    string
 		Helpers []string
-		// Shares are the memory that helpers set aside for the prompt.
-		Shares []Share
+		// MemoryShares are the memory that helpers set aside for the prompt.
+		MemoryShares []MemoryShare
 		// Fits reports whether the memory for the request is there.
 		Fits bool
-		// Displaces is the value of what the servers could do instead, beside
+		// DisplacementRatio is the value of what the servers could do instead, beside
 		// the value of the request: above 1 it had better come later.
-		Displaces float64
-		// Engines is how many engines' memory the request fills, and Spare the
+		DisplacementRatio float64
+		// EnginesFilled is how many engines' memory the request fills, and SpareFraction the
 		// least part of the service's engines that doesn't read it.
-		Engines, Spare float64
-		// Workspace is whose it is, by [WorkspaceOf], Part how that one stands
+		EnginesFilled, SpareFraction float64
+		// Workspace is whose it is, by [HashWorkspace], Part how that one stands
 		// beside others, and Full how scarce slots are, from 0 to 1.
-		Workspace uint32
-		Part      Part
-		Full      float64
-		// Mark is the same for copies of one request, and Apart says that no other
+		Workspace    uint32
+		Share        WorkspaceShare
+		SlotScarcity float64
+		// Fingerprint is the same for copies of one request, and Apart says that no other
 		// request runs on its lead that has to run apart.
-		Mark  uint64
-		Apart bool
-		Work  Work
+		Fingerprint uint64
+		Isolated    bool
+		Work        Work
 		// Objective is the time from Begun until its first event is late.
 		Objective time.Duration
 		Gap       time.Duration
-		Begun     time.Duration
-		// First is the predicted time to the first token from Begun.
-		First time.Duration
-		// Idle is the same if all servers were idle.
-		Idle time.Duration
-		// Pass is how long the lead's passes are expected to take.
-		Pass time.Duration
-		// LeadRuns is how many other requests the lead had, LeadReads how long
+		PlacedAt  time.Duration
+		// FirstToken is the predicted time to the first token from Begun.
+		FirstToken time.Duration
+		// IdleFirstToken is the same if all servers were idle.
+		IdleFirstToken time.Duration
+		// PassTime is how long the lead's passes are expected to take.
+		PassTime time.Duration
+		// LeadRunning is how many other requests the lead had, LeadReads how long
 		// it had yet to read.
-		LeadRuns  int
-		LeadReads time.Duration
-		writing   bool
+		LeadRunning int
+		LeadBacklog time.Duration
+		writing     bool
 	}
 
-	// Share is memory of one server, in tokens of a prompt.
-	Share struct {
+	// MemoryShare is memory of one server, in tokens of a prompt.
+	MemoryShare struct {
 		Server string
 		Tokens int
 	}
 
-	// Board is what runs where. It is safe for use by many goroutines.
-	Board struct {
+	// Scheduler is what runs where. It is safe for use by many goroutines.
+	Scheduler struct {
 		mu         sync.Mutex
 		host       uint32
 		next       uint32
@@ -136,7 +136,7 @@
 	}
 
 	// Option changes a board under construction.
-	Option func(*Board)
+	Option func(*Scheduler)
 
 	// load is what is placed on one server, in the order in which it became
 	// known: sums over it don't depend on chance.
@@ -146,12 +146,12 @@
 )
 
 // WithRandom sets the source of draws, numbers from 0 to below 1.
-func WithRandom(f func() float64) Option { return func(b *Board) { b.random = f } }
+func WithRandom(f func() float64) Option { return func(b *Scheduler) { b.random = f } }
 
-// NewBoard returns an empty board of a host, whose number is in the ID of each
+// New returns an empty board of a host, whose number is in the ID of each
 // of its placements.
-func NewBoard(host uint32, os ...Option) *Board {
-	b := &Board{
+func New(host uint32, os ...Option) *Scheduler {
+	b := &Scheduler{
 		host:       host,
 		placements: map[ID]*Placement{},
 		byServer:   map[string]*load{},
@@ -174,11 +174,11 @@
 }
 
 // Host returns the number of the board's host.
-func (b *Board) Host() uint32 { return b.host }
+func (b *Scheduler) Host() uint32 { return b.host }
 
 // Place chooses servers and notes the placement. It reports false if no
 // server takes new work.
-func (b *Board) Place(now time.Duration, s site.Service, servers []backend.Server, r Request) (Placement, bool) {
+func (b *Scheduler) Place(now time.Duration, s site.Service, servers []backend.Server, r Request) (Placement, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	able := b.able(now, servers, r.Avoid)
@@ -187,9 +187,9 @@
 		return Placement{}, false
 	}
 	p := &Placement{
-		Service: s.Name, Workspace: r.Workspace, Part: Part{Price: 1}, Work: r.Work,
-		Objective: r.Objective, Gap: r.Gap, Begun: now,
-		Mark: r.Mark, Apart: r.Apart,
+		Service: s.Name, Workspace: r.Workspace, Share: WorkspaceShare{Weight: 1}, Work: r.Work,
+		Objective: r.Objective, Gap: r.Gap, PlacedAt: now,
+		Fingerprint: r.Fingerprint, Isolated: r.Isolated,
 	}
 	if s.Engine == nil || r.Work.Prompt == 0 {
 		p.Fits = true
@@ -203,21 +203,21 @@
 	return *p, true
 }
 
-// Heard takes in a placement of another host.
-func (b *Board) Heard(p Placement) {
+// AddRemote takes in a placement of another host.
+func (b *Scheduler) AddRemote(p Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, ok := b.placements[p.ID]; !ok {
 		// This host's own are known to it. Counted too, those that it refuses
 		// under overload keep slots empty: of 2,215 streams asked of 30 engines
 		// 338 were in time, 689 without them, on the model of engines.
-		b.rates[p.Service] = b.rates[p.Service].with(p.Begun)
+		b.rates[p.Service] = b.rates[p.Service].with(p.PlacedAt)
 		b.add(&p)
 	}
 }
 
-// Started notes that a placement's prompt has been read.
-func (b *Board) Started(id ID, now time.Duration) {
+// RecordStart notes that a placement's prompt has been read.
+func (b *Scheduler) RecordStart(id ID, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.placements[id]; p != nil {
@@ -227,31 +227,31 @@
 	}
 }
 
-// Ended notes that a placement is over.
-func (b *Board) Ended(id ID) {
+// RecordEnd notes that a placement is over.
+func (b *Scheduler) RecordEnd(id ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.remove(id)
 }
 
-// Alive notes that another host is there, whatever it tells.
-func (b *Board) Alive(host uint32, now time.Duration) {
+// RecordContact notes that another host is there, whatever it tells.
+func (b *Scheduler) RecordContact(host uint32, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.heard[host] = now
 }
 
-// HeardFrom reports whether another host has told something lately.
-func (b *Board) HeardFrom(host uint32, now time.Duration) bool {
+// HostAlive reports whether another host has told something lately.
+func (b *Scheduler) HostAlive(host uint32, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, ok := b.heard[host]
 	return ok && now-at <= hostSilence
 }
 
-// Forget drops placements whose end was missed, and those of hosts that have
+// Expire drops placements whose end was missed, and those of hosts that have
 // fallen silent: backend servers end the requests of a host that is gone.
-func (b *Board) Forget(now time.Duration) {
+func (b *Scheduler) Expire(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for h, at := range b.heard {
@@ -267,15 +267,15 @@
 	}
 	for id, p := range b.placements {
 		_, alive := b.heard[id.Host]
-		if now-p.Begun > maxAge || id.Host != b.host && !alive {
+		if now-p.PlacedAt > maxAge || id.Host != b.host && !alive {
 			b.remove(id)
 		}
 	}
 }
 
-// Pause returns how long a server is predicted to say nothing on a stream, by
+// PredictPause returns how long a server is predicted to say nothing on a stream, by
 // what is yet to be read there and what waits for slots.
-func (b *Board) Pause(now time.Duration, e *site.Engine, s backend.Server) time.Duration {
+func (b *Scheduler) PredictPause(now time.Duration, e *site.Engine, s backend.Server) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var st state
@@ -284,26 +284,26 @@
 	return st.pause(0) + st.wait()
 }
 
-// Served returns how long ago a server last began to answer a request, of this host
+// SinceFirstToken returns how long ago a server last began to answer a request, of this host
 // or another. It reports false if that isn't known.
-func (b *Board) Served(server string, now time.Duration) (time.Duration, bool) {
+func (b *Scheduler) SinceFirstToken(server string, now time.Duration) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, ok := b.served[server]
 	return now - at, ok
 }
 
-// Running returns how many placements a server has.
-func (b *Board) Running(server string) int {
+// PlacementCount returns how many placements a server has.
+func (b *Scheduler) PlacementCount(server string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.count(server)
 }
 
-func (b *Board) add(p *Placement) {
+func (b *Scheduler) add(p *Placement) {
 	b.placements[p.ID] = p
-	if p.Mark != 0 {
-		b.byMark[p.Mark] = append(b.byMark[p.Mark], p)
+	if p.Fingerprint != 0 {
+		b.byMark[p.Fingerprint] = append(b.byMark[p.Fingerprint], p)
 	}
 	for _, s := range p.servers() {
 		l := b.byServer[s]
@@ -315,16 +315,16 @@
 	}
 }
 
-func (b *Board) remove(id ID) {
+func (b *Scheduler) remove(id ID) {
 	p := b.placements[id]
 	if p == nil {
 		return
 	}
 	delete(b.placements, id)
-	if p.Mark != 0 {
-		b.byMark[p.Mark] = slices.DeleteFunc(b.byMark[p.Mark], func(o *Placement) bool { return o == p })
-		if len(b.byMark[p.Mark]) == 0 {
-			delete(b.byMark, p.Mark)
+	if p.Fingerprint != 0 {
+		b.byMark[p.Fingerprint] = slices.DeleteFunc(b.byMark[p.Fingerprint], func(o *Placement) bool { return o == p })
+		if len(b.byMark[p.Fingerprint]) == 0 {
+			delete(b.byMark, p.Fingerprint)
 		}
 	}
 	for _, s := range p.servers() {
@@ -339,7 +339,7 @@
 	}
 }
 
-func (b *Board) count(server string) int {
+func (b *Scheduler) count(server string) int {
 	if l := b.byServer[server]; l != nil {
 		return len(l.placements)
 	}
@@ -353,7 +353,7 @@
 
 // leastLoaded returns the server with the fewest placements for its slots,
 // and among equals one of the hall.
-func (b *Board) leastLoaded(servers []*backend.Server, hall string) *backend.Server {
+func (b *Scheduler) leastLoaded(servers []*backend.Server, hall string) *backend.Server {
 	best, least := servers[0], 0.0
 	for i, s := range servers {
 		n := float64(b.count(s.ID)) / float64(max(s.Slots, 1))
--- a/core/schedule/schedule_test.go
+++ b/core/schedule/schedule_test.go
@@ -40,7 +40,7 @@
 	return ss
 }
 
-func place(t *testing.T, b *schedule.Board, ss []backend.Server, r schedule.Request) schedule.Placement {
+func place(t *testing.T, b *schedule.Scheduler, ss []backend.Server, r schedule.Request) schedule.Placement {
 	t.Helper()
 	p, ok := b.Place(0, service, ss, r)
 	if !ok {
@@ -50,11 +50,11 @@
 }
 
 func TestShortStreamsStayTogether(t *testing.T) {
-	b := schedule.NewBoard(1)
+	b := schedule.New(1)
 	used := map[string]int{}
 	for range 12 {
 		p := place(t, b, servers(18), short)
-		b.Started(p.ID, 0)
+		b.RecordStart(p.ID, 0)
 		used[p.Lead]++
 	}
 	if len(used) > 2 {
@@ -73,14 +73,14 @@
 		"many placements": {400, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, ss := schedule.NewBoard(1), servers(6)
+			b, ss := schedule.New(1), servers(6)
 			hear := func(n int, server string) {
 				p := schedule.Placement{
 					ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: server,
 					Work: short.Work, Gap: short.Gap, Objective: short.Objective,
 				}
-				b.Heard(p)
-				b.Started(p.ID, 0)
+				b.AddRemote(p)
+				b.RecordStart(p.ID, 0)
 			}
 			for n := range engine.Slots - 2 {
 				hear(n, ss[0].ID)
@@ -98,16 +98,16 @@
 // TestOwnPlacementsAreKnown has a host refuse hundreds of streams that it has
 // chosen engines for: they are no sign that others place as many unheard.
 func TestOwnPlacementsAreKnown(t *testing.T) {
-	b, ss := schedule.NewBoard(1), servers(6)
+	b, ss := schedule.New(1), servers(6)
 	for n := range engine.Slots - 2 {
-		b.Heard(schedule.Placement{
+		b.AddRemote(schedule.Placement{
 			ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: ss[0].ID,
 			Work: short.Work, Gap: short.Gap, Objective: short.Objective,
 		})
-		b.Started(schedule.ID{Host: 2, Number: uint32(n)}, 0)
+		b.RecordStart(schedule.ID{Host: 2, Number: uint32(n)}, 0)
 	}
 	for range 400 {
-		b.Ended(place(t, b, ss, short).ID)
+		b.RecordEnd(place(t, b, ss, short).ID)
 	}
 	if p := place(t, b, ss, short); p.Lead != ss[0].ID {
 		t.Errorf("the stream is on %s, which is idle, beside two free slots", p.Lead)
@@ -119,9 +119,9 @@
 func TestHostsThatChooseAtOnceDiffer(t *testing.T) {
 	ss, leads := servers(6), map[string]int{}
 	for host := range uint32(60) {
-		b := schedule.NewBoard(host + 10)
+		b := schedule.New(host + 10)
 		for n := range 2 {
-			b.Heard(schedule.Placement{
+			b.AddRemote(schedule.Placement{
 				ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: ss[n].ID,
 				Work: short.Work, Gap: short.Gap, Objective: short.Objective,
 			})
@@ -134,20 +134,20 @@
 }
 
 func TestLongPromptSparesShortStreams(t *testing.T) {
-	b := schedule.NewBoard(1)
+	b := schedule.New(1)
 	ss := servers(18)
 	busy := map[string]bool{}
 	for range 30 {
 		p := place(t, b, ss, short)
-		b.Started(p.ID, 0)
+		b.RecordStart(p.ID, 0)
 		busy[p.Lead] = true
 	}
 	// Even in 18 parts, reading this takes longer than short streams endure.
 	r := long
 	r.Work.Prompt = 230_000
 	p := place(t, b, ss, r)
-	if p.First > r.Objective {
-		t.Errorf("the long prompt is predicted after %v, over its objective", p.First)
+	if p.FirstToken > r.Objective {
+		t.Errorf("the long prompt is predicted after %v, over its objective", p.FirstToken)
 	}
 	for _, s := range append([]string{p.Lead}, p.Helpers...) {
 		if busy[s] {
@@ -172,17 +172,17 @@
 		"each of the engines": {18, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, ss := schedule.NewBoard(1), servers(18)
+			b, ss := schedule.New(1), servers(18)
 			for n := range tc.busy {
-				b.Heard(schedule.Placement{
+				b.AddRemote(schedule.Placement{
 					ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: ss[n].ID,
 					Work: long.Work, Gap: long.Gap, Objective: long.Objective,
 				})
 			}
 			r := long
 			r.Work.Prompt = 230_000
-			if p := place(t, b, ss, r); (p.Displaces > 1) != tc.displaces {
-				t.Errorf("it displaces %.2f times its value", p.Displaces)
+			if p := place(t, b, ss, r); (p.DisplacementRatio > 1) != tc.displaces {
+				t.Errorf("it displaces %.2f times its value", p.DisplacementRatio)
 			}
 		})
 	}
@@ -197,11 +197,11 @@
 		"memory": {long, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := schedule.NewBoard(1)
+			b := schedule.New(1)
 			led := map[string]int{}
 			for range 2 * tc.fill {
 				p := place(t, b, servers(2), tc.request)
-				b.Started(p.ID, 0)
+				b.RecordStart(p.ID, 0)
 				led[p.Lead]++
 			}
 			for s, n := range led {
@@ -217,11 +217,11 @@
 // cost nearly the least.
 func TestDrawsSpareFullEngines(t *testing.T) {
 	for seed := range uint64(20) {
-		b := schedule.NewBoard(1, schedule.WithRandom(rand.New(rand.NewPCG(seed, 1)).Float64))
+		b := schedule.New(1, schedule.WithRandom(rand.New(rand.NewPCG(seed, 1)).Float64))
 		led := map[string]int{}
 		for range 2 * engine.Slots {
 			p := place(t, b, servers(2), short)
-			b.Started(p.ID, 0)
+			b.RecordStart(p.ID, 0)
 			led[p.Lead]++
 		}
 		for s, n := range led {
@@ -233,11 +233,11 @@
 }
 
 func TestFailedServersRest(t *testing.T) {
-	b := schedule.NewBoard(1)
+	b := schedule.New(1)
 	ss := servers(3)
 	first := place(t, b, ss, short)
-	b.Ended(first.ID)
-	rest := b.Failed(first.Lead, 0)
+	b.RecordEnd(first.ID)
+	rest := b.RecordFailure(first.Lead, 0)
 	if p := place(t, b, ss, short); p.Lead == first.Lead {
 		t.Errorf("%s got a request while it rests", p.Lead)
 	}
@@ -249,14 +249,14 @@
 
 func TestNewsOfOtherHostsCounts(t *testing.T) {
 	ss := servers(2)
-	here, there := schedule.NewBoard(1), schedule.NewBoard(2)
+	here, there := schedule.New(1), schedule.New(2)
 	p := place(t, there, ss, long)
-	here.Heard(p)
+	here.AddRemote(p)
 	if own := place(t, here, ss, long); own.Lead == p.Lead {
 		t.Errorf("both hosts lead from %s", own.Lead)
 	}
-	here.Ended(p.ID)
-	if n := here.Running(p.Lead); n > 1 {
+	here.RecordEnd(p.ID)
+	if n := here.PlacementCount(p.Lead); n > 1 {
 		t.Errorf("%s still has %d placements after the end was heard", p.Lead, n)
 	}
 }
@@ -264,7 +264,7 @@
 func TestRequestAvoidsServersThatFailedIt(t *testing.T) {
 	r := short
 	r.Avoid = map[string]bool{"s00": true}
-	p := place(t, schedule.NewBoard(1), servers(2), r)
+	p := place(t, schedule.New(1), servers(2), r)
 	if slices.Contains(append(p.Helpers, p.Lead), "s00") {
 		t.Error("a server that failed the request got it again")
 	}
@@ -281,13 +281,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ss := servers(1)
-			here, there := schedule.NewBoard(1), schedule.NewBoard(2)
+			here, there := schedule.New(1), schedule.New(2)
 			p := place(t, there, ss, short)
-			p.Begun = told
-			here.Alive(p.ID.Host, told)
-			here.Heard(p)
-			here.Forget(tc.now)
-			if n := here.Running(p.Lead); n != tc.want {
+			p.PlacedAt = told
+			here.RecordContact(p.ID.Host, told)
+			here.AddRemote(p)
+			here.Expire(tc.now)
+			if n := here.PlacementCount(p.Lead); n != tc.want {
 				t.Errorf("%d placements of the other host count, want %d", n, tc.want)
 			}
 		})
@@ -305,14 +305,14 @@
 		"every second, others not": {0, 2, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := schedule.NewBoard(1)
+			b := schedule.New(1)
 			fails := func(n, of int) bool { return of > 0 && n%of == of-1 }
 			rests := false
 			for n := range 60 {
 				for _, s := range []string{"a", "b", "c", "d"} {
-					b.Answered("s", s, fails(n, tc.usual), 0)
+					b.RecordAnswer("s", s, fails(n, tc.usual), 0)
 				}
-				if b.Answered("s", "own", fails(n, tc.own), 0) > 0 {
+				if b.RecordAnswer("s", "own", fails(n, tc.own), 0) > 0 {
 					rests = true
 				}
 			}
@@ -324,29 +324,29 @@
 }
 
 func TestSlowEnginesGetLess(t *testing.T) {
-	b := schedule.NewBoard(1)
+	b := schedule.New(1)
 	ss := servers(2)
 	first := place(t, b, ss, short)
-	b.Ended(first.ID)
+	b.RecordEnd(first.ID)
 	for range 30 {
-		b.Passed(first.Lead, 8*first.Pass, first.Pass, 0)
+		b.RecordPass(first.Lead, 8*first.PassTime, first.PassTime, 0)
 	}
 	other := place(t, b, ss, short)
 	if other.Lead == first.Lead {
 		t.Errorf("%s got the request although it is eight times as slow", first.Lead)
 	}
-	b.Ended(other.ID)
+	b.RecordEnd(other.ID)
 	// After a while without news it is tried again.
 	p, _ := b.Place(time.Minute, service, ss[:1], short)
-	if p.First > 2*first.First {
-		t.Errorf("after a minute %v is predicted, at first %v", p.First, first.First)
+	if p.FirstToken > 2*first.FirstToken {
+		t.Errorf("after a minute %v is predicted, at first %v", p.FirstToken, first.FirstToken)
 	}
 }
 
 func TestPromptInTimeAloneGetsNoHelpers(t *testing.T) {
 	r := short
 	r.Work.Prompt = 10_000
-	if p := place(t, schedule.NewBoard(1), servers(18), r); len(p.Helpers) > 0 {
+	if p := place(t, schedule.New(1), servers(18), r); len(p.Helpers) > 0 {
 		t.Errorf("%d helpers for a prompt that one engine reads in time", len(p.Helpers))
 	}
 }
@@ -370,15 +370,15 @@
 		t.Run(name, func(t *testing.T) {
 			ss, chosen := servers(18), false
 			for range 40 { // one of the three best engines is drawn
-				b := schedule.NewBoard(1)
+				b := schedule.New(1)
 				for n := range tc.servers {
 					// The first server is reported last.
 					server := ss[tc.servers-1-n].ID
 					for _, h := range tc.hosts {
-						b.HeardFailed(h, server, 0)
+						b.RecordRemoteFailure(h, server, 0)
 					}
 					if n < tc.serves {
-						b.Answered(service.Name, server, false, 0)
+						b.RecordAnswer(service.Name, server, false, 0)
 					}
 				}
 				p, ok := b.Place(tc.after, service, ss, short)
--- a/core/schedule/slots.go
+++ b/core/schedule/slots.go
@@ -107,6 +107,6 @@
 }
 
 // unknown returns how likely so many placements of a service aren't known yet.
-func (b *Board) unknown(service string, now time.Duration) []float64 {
+func (b *Scheduler) unknown(service string, now time.Duration) []float64 {
 	return likely(b.rates[service].perSecond(now))
 }
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -46,7 +46,7 @@
 )
 
 // fill predicts an engine from its placements. It reuses what st has allocated.
-func (b *Board) fill(st *state, now time.Duration, e *site.Engine, s *backend.Server) {
+func (b *Scheduler) fill(st *state, now time.Duration, e *site.Engine, s *backend.Server) {
 	*st = state{server: s, stride: max(e.Stride, 1), waiters: st.waiters[:0], streams: st.streams[:0]}
 	if l := b.byServer[s.ID]; l != nil {
 		for _, p := range l.placements {
@@ -64,17 +64,17 @@
 
 // add counts a placement.
 func (s *state) add(now time.Duration, e *site.Engine, p *Placement) {
-	if !p.writing && now-p.Begun < 2*p.First+readSlack {
+	if !p.writing && now-p.PlacedAt < 2*p.FirstToken+readSlack {
 		s.reading += readTime(e, p.Work.Prompt, len(p.Helpers)+1)
 		if p.Objective > 0 {
 			// Its first token waits for the last of its parts, so each part
 			// stands for its share of the harm.
 			value := Value(e, p.Work) / float64(len(p.Helpers)+1)
-			s.waiters = append(s.waiters, waiter{waited: now - p.Begun, objective: p.Objective, value: value})
+			s.waiters = append(s.waiters, waiter{waited: now - p.PlacedAt, objective: p.Objective, value: value})
 		}
 	}
 	shared := 0
-	for _, h := range p.Shares {
+	for _, h := range p.MemoryShares {
 		shared += h.Tokens
 		if h.Server == s.server.ID {
 			s.context += h.Tokens
--- a/core/schedule/trouble.go
+++ b/core/schedule/trouble.go
@@ -59,10 +59,10 @@
 	return (a.failed + min(supposed, 1)) / (a.all + supposed)
 }
 
-// Failed notes evidence against a server: it could not be reached, refused,
+// RecordFailure notes evidence against a server: it could not be reached, refused,
 // broke off or fell silent. It rests for a while, longer with each failure in
 // a row.
-func (b *Board) Failed(server string, now time.Duration) time.Duration {
+func (b *Scheduler) RecordFailure(server string, now time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rest(server, now, longestRest)
@@ -70,7 +70,7 @@
 
 // rest keeps requests from a server, for at most longest, and returns for how
 // long.
-func (b *Board) rest(server string, now, longest time.Duration) time.Duration {
+func (b *Scheduler) rest(server string, now, longest time.Duration) time.Duration {
 	t := b.trouble[server]
 	t.failures++
 	rest := min(firstRest<<min(t.failures-1, 8), longest)
@@ -79,10 +79,10 @@
 	return rest
 }
 
-// Answered notes that a server has answered, with a failure of its own or
+// RecordAnswer notes that a server has answered, with a failure of its own or
 // not. One that fails much more often than its service does rests; the time
 // for which is returned, zero for none.
-func (b *Board) Answered(service, server string, failed bool, now time.Duration) time.Duration {
+func (b *Scheduler) RecordAnswer(service, server string, failed bool, now time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.answers[server].with(failed, serverDecay)
@@ -102,7 +102,7 @@
 
 // able returns the servers that a request may go to. Servers that rest are
 // left out unless too many do.
-func (b *Board) able(now time.Duration, servers []backend.Server, avoid map[string]bool) []*backend.Server {
+func (b *Scheduler) able(now time.Duration, servers []backend.Server, avoid map[string]bool) []*backend.Server {
 	able, resting := b.scratch.able[:0], b.scratch.resting[:0]
 	for i := range servers {
 		s := &servers[i]
--- a/core/schedule/witness.go
+++ b/core/schedule/witness.go
@@ -21,8 +21,8 @@
 // reports are who reported a server, and when last.
 type reports map[uint32]time.Duration
 
-// HeardFailed takes in another host's report that a server failed it.
-func (b *Board) HeardFailed(host uint32, server string, now time.Duration) {
+// RecordRemoteFailure takes in another host's report that a server failed it.
+func (b *Scheduler) RecordRemoteFailure(host uint32, server string, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.reports[server] == nil {
@@ -44,14 +44,14 @@
 }
 
 // doubted reports whether a host was found wrong lately.
-func (b *Board) doubted(host uint32, now time.Duration) bool {
+func (b *Scheduler) doubted(host uint32, now time.Duration) bool {
 	at, ok := b.wrong[host]
 	return ok && now-at <= doubtTime
 }
 
 // serves notes that a server works for this host or another: whoever has just
 // reported it is not believed for a while.
-func (b *Board) serves(server string, now time.Duration) {
+func (b *Scheduler) serves(server string, now time.Duration) {
 	for h, at := range b.reports[server] {
 		if now-at <= reportLife {
 			b.wrong[h] = now
@@ -60,7 +60,7 @@
 }
 
 // forgetReports drops reports that no longer count.
-func (b *Board) forgetReports(now time.Duration) {
+func (b *Scheduler) forgetReports(now time.Duration) {
 	for h, at := range b.wrong {
 		if now-at > doubtTime {
 			delete(b.wrong, h)
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -80,7 +80,7 @@
 		log      *decision.Log
 		metrics  *telemetry.Metrics
 		watcher  *watch.Watcher
-		board    *schedule.Board
+		board    *schedule.Scheduler
 		pool     *upstream.Pool
 		gateway  *gateway.Gateway
 		news     *news.News
@@ -131,7 +131,7 @@
 	e.pool = upstream.New(pool...)
 	e.settings.Store(&s)
 	e.number = hostNumber(s.Host, time.Now())
-	e.board = schedule.NewBoard(e.number)
+	e.board = schedule.New(e.number)
 	n, err := news.Listen(s.Listen.News, e.board, e.log, e.clock.Now)
 	if err != nil {
 		return nil, err
@@ -285,7 +285,7 @@
 			e.tellSuspects(0)
 		case <-tick.C:
 			e.noteSuspension()
-			e.board.Forget(e.clock.Now())
+			e.board.Expire(e.clock.Now())
 			e.gateway.Upkeep(time.Now())
 			e.noteProof()
 			e.chooseReaders(&r)
--- a/daemon/entry/neighbors.go
+++ b/daemon/entry/neighbors.go
@@ -111,7 +111,7 @@
 func (e *Entry) routeNews(c *broadcast.Chooser, old broadcast.Routes) broadcast.Routes {
 	now := e.clock.Now()
 	r := c.Choose(now, e.neighbors.Load().cell, broadcast.Evidence{
-		Alive: func(number uint32) bool { return e.board.HeardFrom(number, now) },
+		Alive: func(number uint32) bool { return e.board.HostAlive(number, now) },
 		Heard: e.news.Heard,
 	})
 	e.news.SetRoutes(r)
--- a/daemon/entry/readers.go
+++ b/daemon/entry/readers.go
@@ -259,7 +259,7 @@
 		if h.Number == e.number || h.Name == e.settings.Load().Host {
 			continue
 		}
-		heard := mates[h.Name] && e.board.HeardFrom(h.Number, e.clock.Now())
+		heard := mates[h.Name] && e.board.HostAlive(h.Number, e.clock.Now())
 		if all || heard || !mates[h.Name] && !e.relays.Lost(h.Addr) {
 			live = append(live, h)
 		}
--- a/daemon/gateway/admit.go
+++ b/daemon/gateway/admit.go
@@ -19,14 +19,14 @@
 		Stream:    c.route.Kind == site.Stream,
 		Left:      time.Until(c.deadline),
 		Objective: c.route.Objective,
-		First:     p.First,
-		Idle:      p.Idle,
-		Displaces: p.Displaces,
-		Engines:   p.Engines,
-		Spare:     p.Spare,
-		Price:     p.Part.Price,
-		Over:      p.Part.Over,
-		Full:      p.Full,
+		First:     p.FirstToken,
+		Idle:      p.IdleFirstToken,
+		Displaces: p.DisplacementRatio,
+		Engines:   p.EnginesFilled,
+		Spare:     p.SpareFraction,
+		Price:     p.Share.Weight,
+		Over:      p.Share.OverShare,
+		Full:      p.SlotScarcity,
 	})
 	if !refused {
 		return nil
--- a/daemon/gateway/admit_test.go
+++ b/daemon/gateway/admit_test.go
@@ -37,13 +37,13 @@
 			f := start(t, streamFrom(events), streamFrom(events))
 			for n, id := range []string{"e0", "e1"} {
 				if tc.busy {
-					f.board.Heard(schedule.Placement{
+					f.board.AddRemote(schedule.Placement{
 						ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: "engine", Lead: id,
-						Work: schedule.Work{Prompt: 20_000, Answer: 10}, Gap: time.Minute, First: time.Minute,
+						Work: schedule.Work{Prompt: 20_000, Answer: 10}, Gap: time.Minute, FirstToken: time.Minute,
 					})
-					f.board.Heard(schedule.Placement{
+					f.board.AddRemote(schedule.Placement{
 						ID: schedule.ID{Host: 3, Number: uint32(n)}, Service: "engine", Lead: id,
-						Work: schedule.Work{Prompt: 32_000, Answer: 10}, Gap: time.Minute, First: time.Minute,
+						Work: schedule.Work{Prompt: 32_000, Answer: 10}, Gap: time.Minute, FirstToken: time.Minute,
 					})
 				}
 			}
@@ -70,10 +70,10 @@
 func TestStreamThatCallersWouldLeaveIsRefused(t *testing.T) {
 	f := start(t, streamFrom(events))
 	for n := range 2 {
-		f.board.Heard(schedule.Placement{
+		f.board.AddRemote(schedule.Placement{
 			ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: "engine", Lead: "e0",
-			Work: schedule.Work{Prompt: 130_000, Answer: 10}, First: time.Minute,
-			Shares: []schedule.Share{{Server: "elsewhere", Tokens: 130_000}},
+			Work: schedule.Work{Prompt: 130_000, Answer: 10}, FirstToken: time.Minute,
+			MemoryShares: []schedule.MemoryShare{{Server: "elsewhere", Tokens: 130_000}},
 		})
 	}
 	a := f.ask("POST", "/late/", "b", "Size", "1000,10", "Wait-Ms", "30000")
@@ -112,12 +112,12 @@
 			f := start(t, streamFrom(events), streamFrom(events))
 			for n, id := range []string{"e0", "e1"} {
 				for host, p := range map[uint32]schedule.Placement{
-					2: {Work: schedule.Work{Prompt: 40_000, Answer: 10}, Workspace: schedule.WorkspaceOf(tc.holder)},
-					3: {Work: schedule.Work{Prompt: 12_000, Answer: 10}, Workspace: schedule.WorkspaceOf("w3")},
+					2: {Work: schedule.Work{Prompt: 40_000, Answer: 10}, Workspace: schedule.HashWorkspace(tc.holder)},
+					3: {Work: schedule.Work{Prompt: 12_000, Answer: 10}, Workspace: schedule.HashWorkspace("w3")},
 				} {
 					p.ID, p.Service, p.Lead = schedule.ID{Host: host, Number: uint32(n)}, "engine", id
-					p.Gap, p.First = time.Minute, time.Minute
-					f.board.Heard(p)
+					p.Gap, p.FirstToken = time.Minute, time.Minute
+					f.board.AddRemote(p)
 				}
 			}
 			a := f.ask("POST", "/read/", "b", "Size", "37000,10", "Wait-Ms", "5000")
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -73,7 +73,7 @@
 		proof          Proof
 		admission      admission.Policy
 		pool           *upstream.Pool
-		board          *schedule.Board
+		board          *schedule.Scheduler
 		budget         *limit.Window
 		log            *decision.Log
 		metrics        *telemetry.Metrics
@@ -158,7 +158,7 @@
 func WithMemory(k *memory.Keeper) Option { return func(g *Gateway) { g.memory = k } }
 
 // New returns a gateway.
-func New(d Dialect, state func() State, pool *upstream.Pool, board *schedule.Board, budget *limit.Window,
+func New(d Dialect, state func() State, pool *upstream.Pool, board *schedule.Scheduler, budget *limit.Window,
 	log *decision.Log, metrics *telemetry.Metrics, os ...Option,
 ) *Gateway {
 	always := func() bool { return true }
@@ -328,17 +328,17 @@
 	ready := s.ready(service.Name)
 	open, _ := g.notices.Open(ready, g.clock.Now())
 	p, ok := g.board.Place(g.clock.Now(), service, open, schedule.Request{
-		Work:      c.work,
-		Objective: c.route.Objective - time.Since(c.arrived),
-		Gap:       c.route.Gap,
-		Workspace: schedule.WorkspaceOf(c.workspace.Name),
-		Hall:      g.hall,
-		Avoid:     c.tried,
-		LeadOnly:  g.notices.Limited(open),
-		Mark:      mark,
-		Apart:     confined || stage >= quarantine.Suspect,
-		Single:    stage >= quarantine.Doubtful,
-		Copied:    confined || c.copied,
+		Work:         c.work,
+		Objective:    c.route.Objective - time.Since(c.arrived),
+		Gap:          c.route.Gap,
+		Workspace:    schedule.HashWorkspace(c.workspace.Name),
+		Hall:         g.hall,
+		Avoid:        c.tried,
+		LeadOnly:     g.notices.Limited(open),
+		Fingerprint:  mark,
+		Isolated:     confined || stage >= quarantine.Suspect,
+		OnlyCopy:     stage >= quarantine.Doubtful,
+		CopiesFailed: confined || c.copied,
 	})
 	if ok {
 		return p, service, nil
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -58,7 +58,7 @@
 		t       *testing.T
 		front   *httptest.Server
 		gateway *gateway.Gateway
-		board   *schedule.Board
+		board   *schedule.Scheduler
 		metrics *telemetry.Metrics
 		servers []*server
 		view    *backend.View
@@ -171,7 +171,7 @@
 	l := decision.New(io.Discard)
 	t.Cleanup(l.Close)
 	budget := limit.NewWindow(10*time.Second, 0.2, func() float64 { return 10 })
-	f.board, f.metrics = schedule.NewBoard(1), telemetry.NewMetrics()
+	f.board, f.metrics = schedule.New(1), telemetry.NewMetrics()
 	os := append([]gateway.Option{
 		gateway.WithProof(gateway.Proof{
 			Keys:    func() bool { return f.fresh },
--- a/daemon/gateway/log.go
+++ b/daemon/gateway/log.go
@@ -31,10 +31,10 @@
 // logPlaced writes where a call goes, and by what that was decided.
 func (g *Gateway) logPlaced(c *call, s State, p schedule.Placement) {
 	g.log.Write(event.RequestPlaced, slog.String("id", c.id), slog.String("same", c.mark.String()), slog.String("route", c.route.Name),
-		slog.String("server", p.Lead), slog.Int("readers", len(p.Helpers)), slog.Int("shares", len(p.Shares)),
-		slog.Float64("price", p.Part.Price), slog.Bool("over_share", p.Part.Over), slog.Float64("full", p.Full),
-		slog.Float64("displaces", p.Displaces), slog.Int("lead_runs", p.LeadRuns), slog.Duration("lead_reads", p.LeadReads),
-		slog.Int("prompt", c.work.Prompt), slog.Duration("predicted", p.First),
+		slog.String("server", p.Lead), slog.Int("readers", len(p.Helpers)), slog.Int("shares", len(p.MemoryShares)),
+		slog.Float64("price", p.Share.Weight), slog.Bool("over_share", p.Share.OverShare), slog.Float64("full", p.SlotScarcity),
+		slog.Float64("displaces", p.DisplacementRatio), slog.Int("lead_runs", p.LeadRunning), slog.Duration("lead_reads", p.LeadBacklog),
+		slog.Int("prompt", c.work.Prompt), slog.Duration("predicted", p.FirstToken),
 		slog.Int64("configuration", s.Config.Version()), slog.Duration("proof_age", g.proof.Age()),
 		slog.Duration("servers_age", g.proof.Servers()))
 }
--- a/daemon/gateway/request.go
+++ b/daemon/gateway/request.go
@@ -71,7 +71,7 @@
 func readers(s State, p schedule.Placement) []string {
 	var first, then []string
 	holds := map[string]bool{}
-	for _, h := range p.Shares {
+	for _, h := range p.MemoryShares {
 		holds[h.Server] = true
 		if b, ok := s.Servers.Get(h.Server); ok {
 			first = append(first, b.Addr+"/"+ticket(p.ID))
--- a/daemon/gateway/shared_silence_test.go
+++ b/daemon/gateway/shared_silence_test.go
@@ -38,12 +38,12 @@
 			}
 			server := backend.Server{ID: "s", Service: "engine", Addr: addr.String(), Slots: 4}
 			e := &site.Engine{Slots: 4, Memory: 200_000, Stride: 43, Step: time.Millisecond, ReadRate: 200_000, Chunk: 2048}
-			g := &Gateway{pool: upstream.New(), board: schedule.NewBoard(1), clock: boottime.New()}
+			g := &Gateway{pool: upstream.New(), board: schedule.New(1), clock: boottime.New()}
 			s := State{Config: site.New(1, nil, []site.Service{{Name: "engine", Engine: e}}, nil, site.Limits{})}
 			c := &call{route: site.Route{Kind: site.Stream, Resume: true, Objective: 4 * time.Second, Gap: 800 * time.Millisecond}}
-			p := schedule.Placement{Service: "engine", Lead: "s", First: 2500 * time.Millisecond}
+			p := schedule.Placement{Service: "engine", Lead: "s", FirstToken: 2500 * time.Millisecond}
 			if tc.shared {
-				p.Shares = []schedule.Share{{Server: "t", Tokens: 1000}}
+				p.MemoryShares = []schedule.MemoryShare{{Server: "t", Tokens: 1000}}
 			}
 			const silent = 3600 * time.Millisecond
 			look, more := firstLook(c, p), g.explained(c, s, p, server)
--- a/daemon/gateway/shares.go
+++ b/daemon/gateway/shares.go
@@ -70,8 +70,8 @@
 	g.metrics.Count("gateway_over_share", 1, "workspace", name)
 	if begins {
 		g.log.Write(event.WorkspaceHeld, slog.String("workspace", c.workspace.Name), slog.String("id", c.id),
-			slog.Float64("price", p.Part.Price), slog.Float64("part", p.Part.Fraction), slog.Int("workspaces", p.Part.Workspaces),
-			slog.Float64("full", p.Full))
+			slog.Float64("price", p.Share.Weight), slog.Float64("part", p.Share.Fraction), slog.Int("workspaces", p.Share.Workspaces),
+			slog.Float64("full", p.SlotScarcity))
 	}
 }
 
--- a/daemon/gateway/silence.go
+++ b/daemon/gateway/silence.go
@@ -98,12 +98,12 @@
 	if c.route.Kind != site.Stream {
 		return max(silenceObjectives*c.route.Objective, minSilence/2)
 	}
-	return max(minSilence, silenceGaps*c.route.Gap, 2*p.First+minSilence/2)
+	return max(minSilence, silenceGaps*c.route.Gap, 2*p.FirstToken+minSilence/2)
 }
 
 // firstLook is after how much silence it is looked whether it is explained.
 func firstLook(c *call, p schedule.Placement) time.Duration {
-	if len(p.Shares) > 0 {
+	if len(p.MemoryShares) > 0 {
 		return min(silence(c, p), sharedSilence)
 	}
 	return silence(c, p)
@@ -121,7 +121,7 @@
 	service, _ := s.Config.Service(p.Service)
 	quiet, look := silence(c, p), firstLook(c, p)
 	longest := servingObjectives * c.route.Objective // the call's route may change meanwhile
-	shared, missed := len(p.Shares) > 0, 0
+	shared, missed := len(p.MemoryShares) > 0, 0
 	return func(silent time.Duration) time.Duration {
 		if service.Engine == nil {
 			return 0
@@ -133,8 +133,8 @@
 			return 0
 		}
 		now := g.clock.Now()
-		more := time.Duration(explainedPart * float64(g.board.Pause(now, service.Engine, server)))
-		if ago, known := g.board.Served(server.ID, now); known {
+		more := time.Duration(explainedPart * float64(g.board.PredictPause(now, service.Engine, server)))
+		if ago, known := g.board.SinceFirstToken(server.ID, now); known {
 			more = max(more, min(silent-ago, longest))
 		}
 		if shared {
--- a/daemon/gateway/silence_test.go
+++ b/daemon/gateway/silence_test.go
@@ -81,9 +81,9 @@
 						return
 					case <-tick.C:
 						id := schedule.ID{Host: 9, Number: n}
-						f.board.Heard(schedule.Placement{ID: id, Lead: fmt.Sprintf("e%d", n%2)})
-						f.board.Started(id, clock.Now())
-						f.board.Ended(id)
+						f.board.AddRemote(schedule.Placement{ID: id, Lead: fmt.Sprintf("e%d", n%2)})
+						f.board.RecordStart(id, clock.Now())
+						f.board.RecordEnd(id)
 					}
 				}
 			})
--- a/daemon/gateway/stream.go
+++ b/daemon/gateway/stream.go
@@ -36,7 +36,7 @@
 		now := time.Now()
 		if c.begun {
 			c.pause = max(c.pause, now.Sub(last))
-			g.board.Passed(p.Lead, now.Sub(last), p.Pass, g.clock.Now())
+			g.board.RecordPass(p.Lead, now.Sub(last), p.PassTime, g.clock.Now())
 		}
 		last = now
 		if errors.Is(err, io.EOF) && len(e) == 0 {
@@ -49,7 +49,7 @@
 		}
 		if n == 0 {
 			out.first = time.Since(c.arrived)
-			g.board.Started(p.ID, g.clock.Now())
+			g.board.RecordStart(p.ID, g.clock.Now())
 			g.started(p.ID)
 		}
 		begin(w, c, a)
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -88,7 +88,7 @@
 	if no != nil {
 		return outcome{result: final, why: no.why, server: p.Lead, no: no}
 	}
-	defer g.board.Ended(p.ID)
+	defer g.board.RecordEnd(p.ID)
 	server, _ := s.Servers.Get(p.Lead)
 	g.placed(p)
 	defer g.ended(p.ID)
@@ -100,7 +100,7 @@
 		defer hold.Release()
 	}
 	out := g.send(ctx, w, c, s, p, server)
-	out.server, out.service, out.apart = p.Lead, service.Name, p.Apart
+	out.server, out.service, out.apart = p.Lead, service.Name, p.Isolated
 	g.judge(c, p, server, out)
 	return out
 }
@@ -118,14 +118,14 @@
 			no = g.admit(c, p)
 		}
 		if no != nil {
-			g.board.Ended(p.ID)
+			g.board.RecordEnd(p.ID)
 			return p, service, no
 		}
 		wait, ok := g.granted(ctx, c, s, p)
 		if ok {
 			return p, service, nil
 		}
-		g.board.Ended(p.ID)
+		g.board.RecordEnd(p.ID)
 		if n+1 >= maxAsks {
 			return p, service, refuse(http.StatusServiceUnavailable, "server_limits", max(wait, staleWait))
 		}
@@ -142,11 +142,11 @@
 
 // hold sets memory aside on the helpers of a placement that need it.
 func (g *Gateway) hold(ctx context.Context, s State, p schedule.Placement) (*memory.Hold, error) {
-	if len(p.Shares) == 0 || g.memory == nil {
+	if len(p.MemoryShares) == 0 || g.memory == nil {
 		return nil, nil
 	}
-	parts := make([]memory.Part, 0, len(p.Shares))
-	for _, h := range p.Shares {
+	parts := make([]memory.Part, 0, len(p.MemoryShares))
+	for _, h := range p.MemoryShares {
 		b, _ := s.Servers.Get(h.Server)
 		parts = append(parts, memory.Part{Addr: b.Addr, Tokens: h.Tokens})
 	}
@@ -163,7 +163,7 @@
 	var rest time.Duration
 	switch {
 	case out.result == answered:
-		g.board.Answered(p.Service, p.Lead, false, now)
+		g.board.RecordAnswer(p.Service, p.Lead, false, now)
 		g.answeredWhole(c)
 		return
 	case out.result == callerGone, out.result == final:
@@ -178,12 +178,12 @@
 	case out.why == "not_allowed", out.why == "out_of_time", !time.Now().Before(c.deadline):
 		return
 	case out.result == failed && out.answer != nil:
-		rest = g.board.Answered(p.Service, blamed, true, now)
+		rest = g.board.RecordAnswer(p.Service, blamed, true, now)
 	default:
-		rest = g.board.Failed(blamed, now)
+		rest = g.board.RecordFailure(blamed, now)
 	}
 	if out.broken {
-		c.copied = c.copied || g.board.Copies(uint64(c.mark)) > 1
+		c.copied = c.copied || g.board.CopyCount(uint64(c.mark)) > 1
 		g.inquire(c, server, p.Helpers, out)
 	}
 	if rest > 0 {
--- a/daemon/gateway/witness.go
+++ b/daemon/gateway/witness.go
@@ -68,7 +68,7 @@
 func (g *Gateway) witnesses(s backend.Server, e quarantine.End) bool {
 	now := g.clock.Now()
 	hosts := slices.DeleteFunc(g.hosts(), func(h quarantine.Host) bool {
-		return h.Number != e.By && !g.board.HeardFrom(h.Number, now)
+		return h.Number != e.By && !g.board.HostAlive(h.Number, now)
 	})
 	hosts = append(hosts, quarantine.Host{Number: g.board.Host(), Hall: g.hall})
 	return slices.Contains(quarantine.Witnesses(e.Server, s.Hall, e.By, hosts), g.board.Host())
--- a/daemon/news/forward_test.go
+++ b/daemon/news/forward_test.go
@@ -20,11 +20,11 @@
 	near.SetRoutes(broadcast.Routes{Hall: []netip.AddrPort{originAddr, mateAddr}, Remote: []netip.AddrPort{farAddr}})
 	far.SetRoutes(broadcast.Routes{Hall: []netip.AddrPort{lastAddr}, Remote: []netip.AddrPort{nearAddr}})
 
-	boards := []*schedule.Board{nearBoard, mate, farBoard, last}
+	boards := []*schedule.Scheduler{nearBoard, mate, farBoard, last}
 	each := func(running int) func() bool {
 		return func() bool {
 			for _, b := range boards {
-				if b.Running("a") != running {
+				if b.PlacementCount("a") != running {
 					return false
 				}
 			}
@@ -34,13 +34,13 @@
 	p := schedule.Placement{ID: schedule.ID{Host: 1, Number: 5}, Lead: "a"}
 	until(t, "each host knows the placement", func() { origin.Placed(p) }, each(1))
 	until(t, "the host that placed it hears its forwarder", func() { origin.Alive(1) }, func() bool { return origin.Heard(nearAddr) > 0 })
-	if own.Running("a") != 0 || own.HeardFrom(1, 0) {
+	if own.PlacementCount("a") != 0 || own.HostAlive(1, 0) {
 		t.Error("a host takes its own news for another's")
 	}
 	until(t, "each host knows its end", func() { origin.Ended(p.ID) }, each(0))
 
 	near.Placed(schedule.Placement{ID: schedule.ID{Host: 2, Number: 1}, Lead: "b"})
-	until(t, "news of a forwarder itself reach the other hall", func() { near.Started(schedule.ID{Host: 2, Number: 1}) }, func() bool { return last.Running("b") == 1 })
+	until(t, "news of a forwarder itself reach the other hall", func() { near.Started(schedule.ID{Host: 2, Number: 1}) }, func() bool { return last.PlacementCount("b") == 1 })
 }
 
 // TestManyMessagesAreSplit has a forwarder pass on more than one datagram holds.
@@ -53,5 +53,5 @@
 		for n := range uint32(count) {
 			near.Placed(schedule.Placement{ID: schedule.ID{Host: 1, Number: n}, Lead: "a", Service: "a service of a usual name"})
 		}
-	}, func() bool { return board.Running("a") == count })
+	}, func() bool { return board.PlacementCount("a") == count })
 }
--- a/daemon/news/news.go
+++ b/daemon/news/news.go
@@ -69,7 +69,7 @@
 	// News sends and receives. It is safe for use by many goroutines.
 	News struct {
 		conn     *net.UDPConn
-		board    *schedule.Board
+		board    *schedule.Scheduler
 		log      *decision.Log
 		routes   atomic.Pointer[broadcast.Routes]
 		now      func() time.Duration
@@ -119,7 +119,7 @@
 )
 
 // Listen opens the socket.
-func Listen(addr string, b *schedule.Board, l *decision.Log, now func() time.Duration) (*News, error) {
+func Listen(addr string, b *schedule.Scheduler, l *decision.Log, now func() time.Duration) (*News, error) {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "address for news")
@@ -132,7 +132,7 @@
 }
 
 // New returns news on an open socket.
-func New(c *net.UDPConn, b *schedule.Board, l *decision.Log, now func() time.Duration) *News {
+func New(c *net.UDPConn, b *schedule.Scheduler, l *decision.Log, now func() time.Duration) *News {
 	n := &News{
 		conn: c, board: b, log: l, now: now,
 		heard:    map[netip.AddrPort]time.Duration{},
@@ -173,15 +173,15 @@
 // Placed tells of a new placement.
 func (n *News) Placed(p schedule.Placement) {
 	var shares []share
-	for _, s := range p.Shares {
+	for _, s := range p.MemoryShares {
 		shares = append(shares, share{Server: s.Server, Tokens: s.Tokens})
 	}
 	n.send(message{
 		Kind: placed, Host: p.ID.Host, Number: p.ID.Number, Lead: p.Lead, Helpers: p.Helpers,
 		Prompt: p.Work.Prompt, Answer: p.Work.Answer, GapMS: p.Gap.Milliseconds(),
 		ObjectiveMS: p.Objective.Milliseconds(),
-		FirstMS:     p.First.Milliseconds(), Service: p.Service, Shares: shares,
-		Workspace: p.Workspace, Mark: p.Mark, Apart: p.Apart,
+		FirstMS:     p.FirstToken.Milliseconds(), Service: p.Service, Shares: shares,
+		Workspace: p.Workspace, Mark: p.Fingerprint, Apart: p.Isolated,
 	})
 }
 
@@ -277,30 +277,30 @@
 	if m.Host == n.board.Host() {
 		return
 	}
-	n.board.Alive(m.Host, n.now())
+	n.board.RecordContact(m.Host, n.now())
 	id := schedule.ID{Host: m.Host, Number: m.Number}
 	switch m.Kind {
 	case placed:
-		var shares []schedule.Share
+		var shares []schedule.MemoryShare
 		for _, s := range m.Shares {
-			shares = append(shares, schedule.Share{Server: s.Server, Tokens: s.Tokens})
+			shares = append(shares, schedule.MemoryShare{Server: s.Server, Tokens: s.Tokens})
 		}
-		n.board.Heard(schedule.Placement{
-			ID: id, Service: m.Service, Workspace: m.Workspace, Lead: m.Lead, Helpers: m.Helpers, Shares: shares,
-			Work:      schedule.Work{Prompt: m.Prompt, Answer: m.Answer},
-			Gap:       time.Duration(m.GapMS) * time.Millisecond,
-			Objective: time.Duration(m.ObjectiveMS) * time.Millisecond,
-			First:     time.Duration(m.FirstMS) * time.Millisecond,
-			Begun:     n.now(),
-			Mark:      m.Mark, Apart: m.Apart,
+		n.board.AddRemote(schedule.Placement{
+			ID: id, Service: m.Service, Workspace: m.Workspace, Lead: m.Lead, Helpers: m.Helpers, MemoryShares: shares,
+			Work:        schedule.Work{Prompt: m.Prompt, Answer: m.Answer},
+			Gap:         time.Duration(m.GapMS) * time.Millisecond,
+			Objective:   time.Duration(m.ObjectiveMS) * time.Millisecond,
+			FirstToken:  time.Duration(m.FirstMS) * time.Millisecond,
+			PlacedAt:    n.now(),
+			Fingerprint: m.Mark, Isolated: m.Apart,
 		})
 		n.notices.Placed(m.Lead)
 	case started:
-		n.board.Started(id, n.now())
+		n.board.RecordStart(id, n.now())
 	case ended:
-		n.board.Ended(id)
+		n.board.RecordEnd(id)
 	case failed:
-		n.board.HeardFailed(m.Host, m.Lead, n.now())
+		n.board.RecordRemoteFailure(m.Host, m.Lead, n.now())
 	case suspect:
 		n.suspects(m.Host, m.Suspects)
 	case asked, granted, limited, leaves:
