--- a/core/schedule/backoff.go
+++ b/core/schedule/backoff.go
@@ -7,116 +7,119 @@
 )
 
 const (
-	// firstRest is how long a server that failed a request gets no more, and
-	// doubles with each failure in a row up to longestRest.
-	firstRest   = 500 * time.Millisecond
-	longestRest = 4 * time.Second
-	// most is the largest part of a service's servers that rest at once.
-	most = 0.5
-	// serverDecay and serviceDecay are the part of earlier answers that counts
-	// on with each further one: about the last ten of a server count, and the
+	// minBackoff is how long a server gets no further requests after a failure. It
+	// doubles with each consecutive failure, up to maxBackoff.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// maxBackoffFraction is the largest fraction of a service's servers that are
+	// kept from requests at once; if more are backing off, all get requests.
+	maxBackoffFraction = 0.5
+	// serverDecay and serviceDecay are the factors by which earlier answers decay
+	// with each further one: about the last ten answers of a server count, and the
 	// last hundred of a service.
 	serverDecay, serviceDecay = 0.9, 0.99
-	// fewAnswers is how many answers have to count before a server may be
-	// taken for worse than the others.
-	fewAnswers = 3
-	// worseTimes and worsePart are by how much the part of its answers that
-	// are failures has to exceed that of the service: services may fail a
-	// tenth and more by themselves.
-	worseTimes = 2
-	worsePart  = 0.15
-	// supposed is how many answers of a service are supposed before any is
-	// known.
-	supposed = 10
+	// minAnswers is the decayed number of answers from which on a server's failure
+	// rate is compared with that of its service.
+	minAnswers = 3
+	// A server backs off if its failure rate exceeds excessRateFactor times that
+	// of its service by excessRateMargin: a tenth and more of a service's answers
+	// may be failures that aren't the fault of a server.
+	excessRateFactor = 2
+	excessRateMargin = 0.15
+	// priorAnswers is the weight, in answers, of the prior for the failure rate of
+	// a service.
+	priorAnswers = 10
 )
 
-// trouble is evidence against a server.
-type trouble struct {
-	failures int // in a row
+// backoff is the backoff of a server after failures.
+type backoff struct {
+	failures int // consecutive
 	until    time.Duration
 }
 
-// answers are decayed counts of answers.
-type answers struct {
-	failed, all float64
+// answerCounts are exponentially decayed counts of answers.
+type answerCounts struct {
+	failed, total float64
 }
 
-// with returns the counts with one more answer, on top of the decayed ones.
-func (a answers) with(failed bool, decay float64) answers {
-	a.failed, a.all = a.failed*decay, a.all*decay+1
+// add returns the counts with one more answer, after the earlier ones have decayed.
+func (a answerCounts) add(failed bool, decay float64) answerCounts {
+	a.failed, a.total = a.failed*decay, a.total*decay+1
 	if failed {
 		a.failed++
 	}
 	return a
 }
 
-// part is the part that failed, on top of earlier answers of which so many are
-// supposed, one of them a failure.
-func (a answers) part(supposed float64) float64 {
-	if a.all+supposed == 0 {
+// failureRate returns the fraction of answers that are failures, with a prior of
+// so many answers of which one is a failure.
+func (a answerCounts) failureRate(prior float64) float64 {
+	if a.total+prior == 0 {
 		return 0
 	}
-	return (a.failed + min(supposed, 1)) / (a.all + supposed)
+	return (a.failed + min(prior, 1)) / (a.total + prior)
 }
 
-// RecordFailure notes evidence against a server: it could not be reached, refused,
-// broke off or fell silent. It rests for a while, longer with each failure in
-// a row.
-func (b *Scheduler) RecordFailure(server string, now time.Duration) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.rest(server, now, longestRest)
+// RecordFailure records that a server could not be reached, refused a request,
+// broke off an answer or fell silent. It returns for how long the server gets no
+// further requests, which grows with each consecutive failure.
+func (sc *Scheduler) RecordFailure(server string, now time.Duration) time.Duration {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.backOff(server, now, maxBackoff)
 }
 
-// rest keeps requests from a server, for at most longest, and returns for how
-// long.
-func (b *Scheduler) rest(server string, now, longest time.Duration) time.Duration {
-	t := b.trouble[server]
-	t.failures++
-	rest := min(firstRest<<min(t.failures-1, 8), longest)
-	t.until = now + rest
-	b.trouble[server] = t
-	return rest
+// backOff keeps requests from a server for a time, at most limit, and returns the
+// time.
+func (sc *Scheduler) backOff(server string, now, limit time.Duration) time.Duration {
+	b := sc.backoffs[server]
+	b.failures++
+	wait := min(minBackoff<<min(b.failures-1, 8), limit)
+	b.until = now + wait
+	sc.backoffs[server] = b
+	return wait
 }
 
-// RecordAnswer notes that a server has answered, with a failure of its own or
-// not. One that fails much more often than its service does rests; the time
-// for which is returned, zero for none.
-func (b *Scheduler) RecordAnswer(service, server string, failed bool, now time.Duration) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own := b.answers[server].with(failed, serverDecay)
-	b.answers[server] = own
-	usual := b.usual[service]
-	if own.all >= fewAnswers && own.part(0) > worseTimes*usual.part(supposed)+worsePart {
-		return b.rest(server, now, longestRest)
+// RecordAnswer records that a server has answered, and whether the answer was a
+// failure of the server itself. If the server's failure rate is far above that of
+// its service, the server gets no further requests for the returned time; otherwise
+// that is zero.
+func (sc *Scheduler) RecordAnswer(service, server string, failed bool, now time.Duration) time.Duration {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	own := sc.serverAnswers[server].add(failed, serverDecay)
+	sc.serverAnswers[server] = own
+	usual := sc.serviceAnswers[service]
+	if own.total >= minAnswers && own.failureRate(0) > excessRateFactor*usual.failureRate(priorAnswers)+excessRateMargin {
+		return sc.backOff(server, now, maxBackoff)
 	}
-	// Servers that are much worse don't change what is usual.
-	b.usual[service] = usual.with(failed, serviceDecay)
+	// Answers of servers with an excessive failure rate don't count towards the
+	// rate of the service.
+	sc.serviceAnswers[service] = usual.add(failed, serviceDecay)
 	if !failed {
-		delete(b.trouble, server)
-		b.serves(server, now)
+		delete(sc.backoffs, server)
+		sc.distrustReporters(server, now)
 	}
 	return 0
 }
 
-// able returns the servers that a request may go to. Servers that rest are
-// left out unless too many do.
-func (b *Scheduler) able(now time.Duration, servers []backend.Server, avoid map[string]bool) []*backend.Server {
-	able, resting := b.scratch.able[:0], b.scratch.resting[:0]
+// available returns the servers that a request may go to. Servers that are backing
+// off are left out unless they exceed maxBackoffFraction.
+func (sc *Scheduler) available(now time.Duration, servers []backend.Server, avoid map[string]bool) []*backend.Server {
+	available, backingOff := sc.scratch.available[:0], sc.scratch.backingOff[:0]
 	for i := range servers {
 		s := &servers[i]
 		switch {
 		case avoid[s.ID]:
-		case b.trouble[s.ID].until > now:
-			resting = append(resting, s)
+		case sc.backoffs[s.ID].until > now:
+			backingOff = append(backingOff, s)
 		default:
-			able = append(able, s)
+			available = append(available, s)
 		}
 	}
-	if float64(len(resting)) > most*float64(len(servers)) {
-		able = append(able, resting...)
+	if float64(len(backingOff)) > maxBackoffFraction*float64(len(servers)) {
+		available = append(available, backingOff...)
 	}
-	b.scratch.able, b.scratch.resting = able, resting
-	return able
+	sc.scratch.available, sc.scratch.backingOff = available, backingOff
+	return available
 }
--- a/core/schedule/choose.go
+++ b/core/schedule/choose.go
@@ -10,229 +10,234 @@
 )
 
 const (
-	// leastPart is the smallest part of a prompt that is worth a helper: its
-	// reading takes about as long as a pass of a few steps.
-	leastPart = 800
-	// alone is the part of its objective up to which a prompt is read by one
-	// engine: a helper that can't be reached would refuse it for nothing.
-	alone = 0.5
+	// minPartTokens is the smallest part of a prompt that is worth a helper: its
+	// prefill takes about as long as a pass of a few steps.
+	minPartTokens = 800
+	// soloObjectiveFraction is the fraction of its objective within which a prompt
+	// is prefilled by one engine alone, although helpers would be faster: a helper
+	// that can't be reached would fail the request for no benefit.
+	soloObjectiveFraction = 0.5
 )
 
 type (
 	// plan is a way to place a request.
 	plan struct {
-		lead    *state
-		helpers []*state
-		shares  []MemoryShare
-		fits    bool
-		cost    float64
-		harm    float64       // the part of the cost that falls on others
-		read    time.Duration // until all parts are read, without waits for slots
-		first   time.Duration
+		lead         *state
+		helpers      []*state
+		memoryShares []MemoryShare
+		fits         bool
+		cost         float64
+		harm         float64       // the part of the cost that falls on other requests
+		prefill      time.Duration // until all parts are prefilled, without waits for slots
+		firstToken   time.Duration
 	}
 
-	// choice is a request before the engines that may run it.
+	// choice is a request and the engines that may run it.
 	choice struct {
-		engine  *site.Engine
-		request Request
-		value   float64
-		draw    float64 // from 0 to below 1
-		states  []*state
-		leading []*state // those that may lead
-		scratch *scratch
-	}
-
-	// scratch is what choices work with. It is kept from one to the next, since each
-	// would allocate it anew: 32 to 360 kB for 60 engines, which keeps the garbage
-	// collector of a host with a fifth of a core busy. The board's lock guards it.
+		engine     *site.Engine
+		request    Request
+		value      float64
+		random     float64 // in [0, 1)
+		states     []*state
+		leadStates []*state // of engines that may lead
+		scratch    *scratch
+	}
+
+	// scratch is working memory that is reused from one choice to the next. Each
+	// choice would allocate 32 to 360 kB for 60 engines, which keeps the garbage
+	// collector of a host with a fifth of a core busy. The scheduler's lock guards it.
 	scratch struct {
-		able, resting []*backend.Server
-		pool          []state
-		states        []*state
-		leading       []*state
-		ranks         []rank
-		helpers       []*state
-		holders       holders
+		available, backingOff []*backend.Server
+		pool                  []state
+		states                []*state
+		leadStates            []*state
+		candidates            []candidate
+		helpers               []*state
+		workspaceTimes        workspaceTimes
 	}
 
-	// rank is an engine's place among others by cost.
-	rank struct {
+	// candidate is an engine with the cost of its choice.
+	candidate struct {
 		cost  float64
 		state *state
 	}
 )
 
-// choose fills in the way to place r that costs least, led by one of the leads.
-func (b *Scheduler) choose(now time.Duration, e *site.Engine, servers, leads []*backend.Server, r Request, p *Placement) {
-	c := choice{engine: e, request: r, value: Value(e, r.Work), draw: b.random(), scratch: &b.scratch}
-	b.predict(&c, now, servers, leads, p.Service)
+// choose sets the servers and predictions of p to the plan with the least cost that
+// is led by one of the leads.
+func (sc *Scheduler) choose(now time.Duration, e *site.Engine, servers, leads []*backend.Server, r Request, p *Placement) {
+	c := choice{engine: e, request: r, value: Value(e, r.Work), random: sc.random(), scratch: &sc.scratch}
+	sc.predictStates(&c, now, servers, leads, p.Service)
 	best := c.best()
-	p.Lead, p.FirstToken, p.MemoryShares = best.lead.server.ID, best.first, best.shares
+	p.Lead, p.FirstToken, p.MemoryShares = best.lead.server.ID, best.firstToken, best.memoryShares
 	p.Fits = best.fits
-	p.EnginesFilled = float64(r.Work.Prompt+r.Work.Answer) / float64(room(e))
+	p.EnginesFilled = float64(r.Work.Prompt+r.Work.Answer) / float64(usableMemory(e))
 	p.SpareFraction = max(1-float64(maxHelpers+1)/float64(len(servers)), 0)
-	p.IdleFirstToken = idleRead(e, r.Work.Prompt, len(servers))
+	p.IdleFirstToken = idlePrefillTime(e, r.Work.Prompt, len(servers))
 	p.PassTime = passTime(e, best.lead.running+1, best.lead.context+r.Work.Prompt)
-	p.LeadRunning, p.LeadBacklog = best.lead.running, best.lead.reading
-	p.DisplacementRatio = (best.harm + displaced(e, c.states, r)) / (c.value * kept(best.first, r.Objective))
-	p.Share, p.SlotScarcity = b.part(e, servers, r), full(slotsTaken(c.states))
+	p.LeadRunning, p.LeadBacklog = best.lead.running, best.lead.backlog
+	p.DisplacementRatio = (best.harm + displacedValue(e, c.states, r)) / (c.value * retainedValue(best.firstToken, r.Objective))
+	p.Share, p.SlotScarcity = sc.workspaceShare(e, servers, r), slotScarcity(slotUtilization(c.states))
 	for _, h := range best.helpers {
 		p.Helpers = append(p.Helpers, h.server.ID)
 	}
 }
 
-// predict fills in the engines of a choice.
-func (b *Scheduler) predict(c *choice, now time.Duration, servers, leads []*backend.Server, service string) {
-	s := &b.scratch
+// predictStates fills in the engines' states of a choice.
+func (sc *Scheduler) predictStates(c *choice, now time.Duration, servers, leads []*backend.Server, service string) {
+	s := &sc.scratch
 	if len(s.pool) < len(servers) {
 		s.pool = make([]state, len(servers))
 	}
-	s.states, s.leading = s.states[:0], s.leading[:0]
-	unknown := b.unknown(service, now)
+	s.states, s.leadStates = s.states[:0], s.leadStates[:0]
+	unseen := sc.unseenPlacements(service, now)
 	for i, server := range servers {
 		st := &s.pool[i]
-		b.fill(st, now, c.engine, server)
-		st.unknown = unknown
-		st.order = float64(i) / float64(len(servers))
+		sc.predictState(st, now, c.engine, server)
+		st.unseen = unseen
+		st.position = float64(i) / float64(len(servers))
 		s.states = append(s.states, st)
-		if len(s.leading) < len(leads) && leads[len(s.leading)].ID == server.ID {
-			s.leading = append(s.leading, st) // both are in one order
+		if len(s.leadStates) < len(leads) && leads[len(s.leadStates)].ID == server.ID {
+			s.leadStates = append(s.leadStates, st) // leads and servers are in the same order
 		}
 	}
-	c.states, c.leading = s.states, s.leading
+	c.states, c.leadStates = s.states, s.leadStates
 }
 
-// best returns the plan that costs least.
+// best returns the plan with the least cost.
 func (c *choice) best() plan {
 	var best plan
 	r := c.request
 	for k := 1; k <= min(maxHelpers+1, len(c.states)); k++ {
-		if k > 1 && r.Work.Prompt/k < leastPart {
+		if k > 1 && r.Work.Prompt/k < minPartTokens {
 			break
 		}
-		p := c.over(k)
+		p := c.planParts(k)
 		if k == 1 || p.cost < best.cost {
 			best = p
-			best.helpers = slices.Clone(p.helpers) // the next one reuses them
+			best.helpers = slices.Clone(p.helpers) // the next plan reuses the memory
 		}
 		if k == 1 && r.Isolated && best.fits {
-			break // so that one server alone can end
+			break // without helpers, the request can end only one server
 		}
-		if k == 1 && best.harm == 0 && float64(best.first) < alone*float64(r.Objective) {
+		if k == 1 && best.harm == 0 && float64(best.firstToken) < soloObjectiveFraction*float64(r.Objective) {
 			break
 		}
 	}
 	return best
 }
 
-// over returns the best way to read the prompt in k parts, the first of them on
-// one of the leads.
-func (c *choice) over(k int) plan {
-	part := readTime(c.engine, c.request.Work.Prompt, k)
-	p := plan{lead: c.lead(part)}
-	p.harm, p.read = p.lead.loss(p.lead.pause(part)), p.lead.firstRead(part)
-	p.cost = p.harm + p.lead.ownCost(c.engine, c.request, c.value)
+// planParts returns the best plan that prefills the prompt in k parts, the first of
+// them on one of the leads.
+func (c *choice) planParts(k int) plan {
+	part := prefillTime(c.engine, c.request.Work.Prompt, k)
+	p := plan{lead: c.pickLead(part)}
+	p.harm, p.prefill = p.lead.lostValue(p.lead.pause(part)), p.lead.timeToPrefill(part)
+	p.cost = p.harm + p.lead.leadCost(c.engine, c.request, c.value)
 	if k > 1 {
-		c.help(&p, k, part)
+		c.addHelpers(&p, k, part)
 	}
-	p.first = p.lead.wait() + p.read
-	p.cost += p.lead.firstCost(p.read, c.request.Objective, c.value)
-	return p.fit(c.engine, c.request, c.value)
+	p.firstToken = p.lead.slotWait() + p.prefill
+	p.cost += p.lead.firstTokenCost(p.prefill, c.request.Objective, c.value)
+	return p.reserveMemory(c.engine, c.request, c.value)
 }
 
-// asGood reports whether a draw may choose the engine for one that costs less: it
-// is no slower, and doesn't have all its slots taken where that one has a free
-// one. A wait for one slot costs a stream less than what counts as near.
-func (s *state) asGood(best *state) bool {
-	return s.slow <= best.slow && (s.running < s.server.Slots || best.running >= best.server.Slots)
+// mayReplace reports whether the engine may be drawn as lead in place of a cheaper
+// one: it is no slower, and if it has no free slot, neither has the cheaper one. The
+// cost of waiting for one slot is less than leadMargin, so that the margin alone
+// doesn't exclude full engines.
+func (s *state) mayReplace(cheaper *state) bool {
+	return s.slowdown <= cheaper.slowdown && (s.running < s.server.Slots || cheaper.running >= cheaper.server.Slots)
 }
 
-// lead chooses, by the draw, among the engines that would lead the prompt for
-// nearly the least cost, so that hosts that choose at the same moment don't all
-// take the same.
-func (c *choice) lead(part time.Duration) *state {
-	ranks := c.scratch.ranks[:0]
-	for _, s := range c.leading {
-		cost := s.loss(s.pause(part)) + s.ownCost(c.engine, c.request, c.value) +
-			s.firstCost(s.firstRead(part), c.request.Objective, c.value)
-		ranks = insert(ranks, rank{cost, s}, nearMost)
-	}
-	c.scratch.ranks = ranks
+// pickLead draws the lead from the engines that would lead the prompt for nearly the
+// least cost, so that hosts that choose at the same moment don't all take the same
+// engine.
+func (c *choice) pickLead(part time.Duration) *state {
+	candidates := c.scratch.candidates[:0]
+	for _, s := range c.leadStates {
+		cost := s.lostValue(s.pause(part)) + s.leadCost(c.engine, c.request, c.value) +
+			s.firstTokenCost(s.timeToPrefill(part), c.request.Objective, c.value)
+		candidates = insertCandidate(candidates, candidate{cost, s}, maxLeadDraw)
+	}
+	c.scratch.candidates = candidates
 	near := 1
-	for near < len(ranks) && ranks[near].cost <= ranks[0].cost+nearCost*c.value && ranks[near].state.asGood(ranks[0].state) {
+	for near < len(candidates) && candidates[near].cost <= candidates[0].cost+leadMargin*c.value && candidates[near].state.mayReplace(candidates[0].state) {
 		near++
 	}
-	return ranks[int(c.draw*float64(near))].state
+	return candidates[int(c.random*float64(near))].state
 }
 
-// help adds the k-1 engines that read parts at the least cost.
-func (c *choice) help(p *plan, k int, part time.Duration) {
-	ranks := c.scratch.ranks[:0]
+// addHelpers adds the k-1 engines with the least cost as helpers to a plan, each for
+// a part that takes the given prefill time.
+func (c *choice) addHelpers(p *plan, k int, part time.Duration) {
+	candidates := c.scratch.candidates[:0]
 	for _, s := range c.states {
 		if s != p.lead && s.helping < s.server.Slots && !c.request.LeadOnly[s.server.ID] {
-			ranks = insert(ranks, rank{s.helpCost(c.engine, part, c.request, c.value), s}, k-1)
+			candidates = insertCandidate(candidates, candidate{s.costAsHelper(c.engine, part, c.request, c.value), s}, k-1)
 		}
 	}
-	c.scratch.ranks = ranks
-	if len(ranks) < k-1 {
-		p.cost += fullCost * c.value
+	c.scratch.candidates = candidates
+	if len(candidates) < k-1 {
+		p.cost += unavailableCost * c.value
 	}
 	p.helpers = c.scratch.helpers[:0]
-	for _, h := range ranks {
+	for _, h := range candidates {
 		s := h.state
-		harm := s.loss(s.pause(part))
+		harm := s.lostValue(s.pause(part))
 		p.harm += harm
 		p.cost += harm + helperCost*c.value
-		p.read = max(p.read, s.firstRead(part))
+		p.prefill = max(p.prefill, s.timeToPrefill(part))
 		p.helpers = append(p.helpers, s)
 	}
 	c.scratch.helpers = p.helpers
 }
 
-// insert puts a rank in its place among the most that cost least, of equals behind
-// those that came before.
-func insert(ranks []rank, r rank, most int) []rank {
-	i := len(ranks)
-	for i > 0 && r.cost < ranks[i-1].cost {
+// insertCandidate inserts a candidate into a list sorted by cost, behind others of
+// equal cost, and keeps at most limit of them.
+func insertCandidate(candidates []candidate, added candidate, limit int) []candidate {
+	i := len(candidates)
+	for i > 0 && added.cost < candidates[i-1].cost {
 		i--
 	}
-	if i == most {
-		return ranks
+	if i == limit {
+		return candidates
 	}
-	if len(ranks) == most {
-		ranks = ranks[:most-1]
+	if len(candidates) == limit {
+		candidates = candidates[:limit-1]
 	}
-	return slices.Insert(ranks, i, r)
+	return slices.Insert(candidates, i, added)
 }
 
-// fit sets memory aside on helpers for what the lead has no room for.
-func (c plan) fit(e *site.Engine, r Request, value float64) plan {
-	lacking := c.lead.context + r.Work.Prompt + r.Work.Answer - room(e)
-	if lacking <= 0 {
+// reserveMemory returns the plan with memory reserved on helpers for the tokens that
+// don't fit into the lead's memory.
+func (c plan) reserveMemory(e *site.Engine, r Request, value float64) plan {
+	missing := c.lead.context + r.Work.Prompt + r.Work.Answer - usableMemory(e)
+	if missing <= 0 {
 		c.fits = true
 		return c
 	}
-	lacking = min(lacking, r.Work.Prompt)
-	byRoom := slices.Clone(c.helpers)
-	slices.SortFunc(byRoom, func(a, b *state) int { return cmp.Compare(a.context, b.context) })
-	for _, h := range byRoom {
-		free := room(e) - h.context
-		if lacking <= 0 || free < leastPart {
+	missing = min(missing, r.Work.Prompt)
+	byFreeMemory := slices.Clone(c.helpers)
+	slices.SortFunc(byFreeMemory, func(a, b *state) int { return cmp.Compare(a.context, b.context) })
+	for _, h := range byFreeMemory {
+		free := usableMemory(e) - h.context
+		if missing <= 0 || free < minPartTokens {
 			break
 		}
-		n := min(free, lacking)
-		c.shares = append(c.shares, MemoryShare{Server: h.server.ID, Tokens: n})
-		lacking -= n
+		n := min(free, missing)
+		c.memoryShares = append(c.memoryShares, MemoryShare{Server: h.server.ID, Tokens: n})
+		missing -= n
 	}
-	if c.fits = lacking <= 0; !c.fits {
-		c.shares = nil
-		c.cost += fullCost * value
+	if c.fits = missing <= 0; !c.fits {
+		c.memoryShares = nil
+		c.cost += unavailableCost * value
 	}
 	return c
 }
 
-// room is what is used of an engine's memory: the lengths of answers are
-// guesses.
-func room(e *site.Engine) int { return int(float64(e.Memory) * usedMemory) }
+// usableMemory returns the part of an engine's memory that placements use, in
+// tokens. The rest is a reserve, since the lengths of answers are estimates.
+func usableMemory(e *site.Engine) int { return int(float64(e.Memory) * usableMemoryFraction) }
 
-const usedMemory = 0.92
+const usableMemoryFraction = 0.92
--- a/core/schedule/isolation.go
+++ b/core/schedule/isolation.go
@@ -9,53 +9,54 @@
 	"slipcrank.example/core/route"
 )
 
-// leads returns the servers of which one may lead a request. It reports false if
-// there is none now.
+// leadCandidates returns the servers of which one may lead a request. It reports
+// false if there is none at present.
 //
-// Copies of one request go to one server while that has a free slot. Should the
-// request end it, then that is one server and not one for each copy.
-func (b *Scheduler) leads(now time.Duration, able []*backend.Server, r Request) ([]*backend.Server, bool) {
+// Copies of one request go to the same server while that has a free slot, so
+// that a request that ends its server ends one server and not one for each copy.
+func (sc *Scheduler) leadCandidates(now time.Duration, available []*backend.Server, r Request) ([]*backend.Server, bool) {
 	if r.Fingerprint == 0 {
-		return able, len(able) > 0
+		return available, len(available) > 0
 	}
-	for _, p := range b.byMark[r.Fingerprint] {
-		if !r.Isolated && !p.undecided(now) {
+	for _, p := range sc.byFingerprint[r.Fingerprint] {
+		if !r.Isolated && !p.pending(now) {
 			continue
 		}
-		for i, s := range able {
-			if s.ID == p.Lead && (r.Isolated || b.count(s.ID) < s.Slots) {
-				return able[i : i+1], !r.OnlyCopy
+		for i, s := range available {
+			if s.ID == p.Lead && (r.Isolated || sc.count(s.ID) < s.Slots) {
+				return available[i : i+1], !r.OnlyCopy
 			}
 		}
 	}
-	if r.OnlyCopy && len(b.byMark[r.Fingerprint]) > 0 {
+	if r.OnlyCopy && len(sc.byFingerprint[r.Fingerprint]) > 0 {
 		return nil, false
 	}
 	if r.Isolated {
-		able = b.apart(able, r)
+		available = sc.isolationCandidates(available, r)
 	}
-	return able, len(able) > 0
+	return available, len(available) > 0
 }
 
-// undecided reports whether it is yet to be seen what becomes of a placement: no
-// token of it has come, and it isn't late. A caller that left a slow server and
-// comes back isn't sent there again.
-func (p *Placement) undecided(now time.Duration) bool {
-	return !p.writing && now-p.PlacedAt < p.Objective
+// pending reports whether the outcome of a placement is open: no token of it has
+// arrived, and it isn't late. A late placement doesn't count, so that a caller
+// that left a slow server isn't sent there again on its next attempt.
+func (p *Placement) pending(now time.Duration) bool {
+	return !p.decoding && now-p.PlacedAt < p.Objective
 }
 
-// apart returns the servers for a request that has to run where no other such
-// runs. While each server has one, these are the servers with the fewest, unless the
-// request has to be single. If several copies of it have broken together, it is the
-// first of these in an order that all hosts know, so that the copies meet again.
-func (b *Scheduler) apart(able []*backend.Server, r Request) []*backend.Server {
-	if used := b.usedApart(able, r.Workspace); len(used) >= max(int(mostApart*float64(len(able))), 1) {
-		able = used
+// isolationCandidates returns the servers for an isolated request: those with the
+// fewest other isolated requests, and with OnlyCopy only those without any. With
+// OnlyCopy, or if several copies of the request have failed together, it returns
+// just one of these, chosen by rendezvous hashing, so that copies at different hosts
+// go to the same server.
+func (sc *Scheduler) isolationCandidates(available []*backend.Server, r Request) []*backend.Server {
+	if used := sc.isolationServers(available, r.Workspace); len(used) >= max(int(maxIsolatedFraction*float64(len(available))), 1) {
+		available = used
 	}
 	fewest := -1
 	var free []*backend.Server
-	for _, s := range able {
-		n := b.countApart(s.ID)
+	for _, s := range available {
+		n := sc.isolatedCount(s.ID)
 		if fewest < 0 || n < fewest {
 			fewest, free = n, nil
 		}
@@ -84,30 +85,29 @@
 	return nil
 }
 
-// usedApart returns the servers on which requests of a workspace run that have to
-// run apart.
-func (b *Scheduler) usedApart(able []*backend.Server, workspace uint32) []*backend.Server {
+// isolationServers returns the servers that run isolated requests of a workspace.
+func (sc *Scheduler) isolationServers(available []*backend.Server, workspace uint32) []*backend.Server {
 	if workspace == 0 {
 		return nil
 	}
 	var used []*backend.Server
-	for _, s := range able {
-		if l := b.byServer[s.ID]; l != nil && slices.ContainsFunc(l.placements, func(p *Placement) bool { return p.Isolated && p.Workspace == workspace }) {
+	for _, s := range available {
+		if l := sc.byServer[s.ID]; l != nil && slices.ContainsFunc(l.placements, func(p *Placement) bool { return p.Isolated && p.Workspace == workspace }) {
 			used = append(used, s)
 		}
 	}
 	return used
 }
 
-// mostApart is the part of a service's servers on which requests of one workspace
-// run that have to run apart: whoever sends several that end servers at once would
-// end all of them with the second tries.
-const mostApart = 0.25
+// maxIsolatedFraction is the largest fraction of a service's servers that run
+// isolated requests of one workspace. Without a limit, a workspace that sends
+// several requests that end servers would end all servers with the retries.
+const maxIsolatedFraction = 0.25
 
-// countApart counts the requests on a server that have to run apart.
-func (b *Scheduler) countApart(server string) int {
+// isolatedCount returns the number of isolated requests on a server.
+func (sc *Scheduler) isolatedCount(server string) int {
 	n := 0
-	if l := b.byServer[server]; l != nil {
+	if l := sc.byServer[server]; l != nil {
 		for _, p := range l.placements {
 			if p.Isolated {
 				n++
@@ -117,9 +117,10 @@
 	return n
 }
 
-// CopyCount returns how many placements of copies of a request are known.
-func (b *Scheduler) CopyCount(mark uint64) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.byMark[mark])
+// CopyCount returns the number of known placements of copies of a request, by its
+// fingerprint.
+func (sc *Scheduler) CopyCount(fingerprint uint64) int {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return len(sc.byFingerprint[fingerprint])
 }
--- a/core/schedule/pace.go
+++ b/core/schedule/pace.go
@@ -3,45 +3,45 @@
 import "time"
 
 const (
-	// paceStep is the weight of one more pass in what is known of a server's
-	// pace: about the last ten passes count.
-	paceStep = 0.1
-	// usualPace is how much longer than the model's a pass takes with what is
-	// read in it on a loaded engine; below it a server counts as sound.
-	usualPace = 2
-	// paceLife is how long an observation holds: then the server is tried
-	// again with real work.
-	paceLife = 4 * time.Second
+	// paceWeight is the weight of each new pass in the moving average of a
+	// server's pace: about the last ten passes count.
+	paceWeight = 0.1
+	// maxNormalPace is the ratio of a pass to the model that prefill in it causes
+	// on a loaded engine: below it, a server counts as sound.
+	maxNormalPace = 2
+	// paceTTL is how long an observed pace is used. After that the server gets
+	// requests as if it were sound, which shows whether it still is slow.
+	paceTTL = 4 * time.Second
 )
 
-// pace is how a server's passes compare with the model.
+// pace is the moving average of a server's pass times, relative to the model.
 type pace struct {
-	ratio float64
-	at    time.Duration
+	ratio     float64
+	updatedAt time.Duration
 }
 
-// RecordPass notes that a server took so long from one event of a stream to the
-// next, where the model says expected.
-func (b *Scheduler) RecordPass(server string, took, expected, now time.Duration) {
+// RecordPass records the time between two events of a stream from a server, next
+// to the time that the model predicts for it.
+func (sc *Scheduler) RecordPass(server string, took, expected, now time.Duration) {
 	if expected <= 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.paces[server]
-	if p.ratio == 0 || now-p.at > paceLife {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	p := sc.paces[server]
+	if p.ratio == 0 || now-p.updatedAt > paceTTL {
 		p.ratio = 1
 	}
-	p.ratio += paceStep * (float64(took)/float64(expected) - p.ratio)
-	p.at = now
-	b.paces[server] = p
+	p.ratio += paceWeight * (float64(took)/float64(expected) - p.ratio)
+	p.updatedAt = now
+	sc.paces[server] = p
 }
 
-// slowness is by how much a server is slower than the model, 1 for one that
-// is sound or not known.
-func (b *Scheduler) slowness(server string, now time.Duration) float64 {
-	p, ok := b.paces[server]
-	if !ok || now-p.at > paceLife || p.ratio < usualPace {
+// slowdown returns the ratio of a server's pass times to the model, or 1 for a
+// server that is sound or has no recent observation.
+func (sc *Scheduler) slowdown(server string, now time.Duration) float64 {
+	p, ok := sc.paces[server]
+	if !ok || now-p.updatedAt > paceTTL || p.ratio < maxNormalPace {
 		return 1
 	}
 	return p.ratio
--- a/core/schedule/reports.go
+++ b/core/schedule/reports.go
@@ -3,77 +3,78 @@
 import "time"
 
 const (
-	// witnesses is how many other hosts have to report a server before this
-	// one rests it without evidence of its own: one host alone may have lost
-	// its own way there.
-	witnesses = 2
-	// reportLife is how long a report counts. Servers that hosts can't reach
-	// cost each of them 0.6 to 1.5 s to find out.
-	reportLife = 2 * time.Second
-	// longestShared bounds rests for what others report: this host may reach
-	// a server that they can't.
-	longestShared = 2 * time.Second
-	// doubtTime is for how long a host isn't believed that reported a server
-	// which then served others: the fault is likely its own.
-	doubtTime = 3 * time.Second
+	// minReporters is the number of other hosts that have to report a server before
+	// this host backs off from it without a failure of its own. A single reporter
+	// may itself have lost its connection to the server.
+	minReporters = 2
+	// reportTTL is how long a report counts. If hosts can't reach a server, each of
+	// them takes 0.6 to 1.5 s to find out.
+	reportTTL = 2 * time.Second
+	// maxReportedBackoff bounds the backoff after reports of other hosts, since this
+	// host may be able to reach a server that they can't.
+	maxReportedBackoff = 2 * time.Second
+	// distrustTime is how long reports of a host are ignored after it has reported
+	// a server that then served others: the fault is probably the reporter's own.
+	distrustTime = 3 * time.Second
 )
 
-// reports are who reported a server, and when last.
-type reports map[uint32]time.Duration
+// failureReports are the times of the last reports of a server, by reporting host.
+type failureReports map[uint32]time.Duration
 
-// RecordRemoteFailure takes in another host's report that a server failed it.
-func (b *Scheduler) RecordRemoteFailure(host uint32, server string, now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.reports[server] == nil {
-		b.reports[server] = reports{}
+// RecordRemoteFailure records another host's report that a server has failed.
+func (sc *Scheduler) RecordRemoteFailure(host uint32, server string, now time.Duration) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.reports[server] == nil {
+		sc.reports[server] = failureReports{}
 	}
-	b.reports[server][host] = now
-	if b.trouble[server].until > now {
+	sc.reports[server][host] = now
+	if sc.backoffs[server].until > now {
 		return
 	}
-	seen := 0
-	for h, at := range b.reports[server] {
-		if now-at <= reportLife && !b.doubted(h, now) {
-			seen++
+	reporters := 0
+	for h, last := range sc.reports[server] {
+		if now-last <= reportTTL && !sc.distrusted(h, now) {
+			reporters++
 		}
 	}
-	if seen >= witnesses {
-		b.rest(server, now, longestShared)
+	if reporters >= minReporters {
+		sc.backOff(server, now, maxReportedBackoff)
 	}
 }
 
-// doubted reports whether a host was found wrong lately.
-func (b *Scheduler) doubted(host uint32, now time.Duration) bool {
-	at, ok := b.wrong[host]
-	return ok && now-at <= doubtTime
+// distrusted reports whether reports of a host are ignored, since it has recently
+// made a false one.
+func (sc *Scheduler) distrusted(host uint32, now time.Duration) bool {
+	last, ok := sc.falseReports[host]
+	return ok && now-last <= distrustTime
 }
 
-// serves notes that a server works for this host or another: whoever has just
-// reported it is not believed for a while.
-func (b *Scheduler) serves(server string, now time.Duration) {
-	for h, at := range b.reports[server] {
-		if now-at <= reportLife {
-			b.wrong[h] = now
+// distrustReporters marks the current reports of a server as false, since the server
+// has just served this host or another.
+func (sc *Scheduler) distrustReporters(server string, now time.Duration) {
+	for h, last := range sc.reports[server] {
+		if now-last <= reportTTL {
+			sc.falseReports[h] = now
 		}
 	}
 }
 
-// forgetReports drops reports that no longer count.
-func (b *Scheduler) forgetReports(now time.Duration) {
-	for h, at := range b.wrong {
-		if now-at > doubtTime {
-			delete(b.wrong, h)
+// expireReports drops reports, and marks of false ones, that no longer count.
+func (sc *Scheduler) expireReports(now time.Duration) {
+	for h, last := range sc.falseReports {
+		if now-last > distrustTime {
+			delete(sc.falseReports, h)
 		}
 	}
-	for server, r := range b.reports {
-		for h, at := range r {
-			if now-at > reportLife {
+	for server, r := range sc.reports {
+		for h, last := range r {
+			if now-last > reportTTL {
 				delete(r, h)
 			}
 		}
 		if len(r) == 0 {
-			delete(b.reports, server)
+			delete(sc.reports, server)
 		}
 	}
 }
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -1,17 +1,22 @@
-// Package schedule chooses which backend servers run a request.
+// Package schedule chooses the backend servers that run a request.
 //
-// A [Scheduler] holds what runs where: the placements of this host, and those
-// that other hosts tell of. From them and the published model of the engines
-// it predicts, for each way to place a request, when its first token comes
-// and how long the streams beside it stand still, and takes the way that
-// costs least.
+// A [Scheduler] tracks the active placements on each server: those of this
+// host, and those that other hosts report. From them and the published
+// performance model of the engines it predicts, for each way to place a
+// request, the time to its first token and the pause that it causes in the
+// streams on the same engines, and picks the way with the least cost.
+//
+// Engines work in passes, each a batch of token steps ([site.Engine]). A prompt
+// is read (prefill) before its answer is written (decode), and several engines
+// can prefill parts of one prompt in parallel: the lead, which then decodes the
+// answer, and its helpers.
 //
 // # Usage
 //
-//	b := schedule.NewBoard()
-//	p, ok := b.Place(now, service, servers, schedule.Request{...})
-//	b.Started(p.ID, now)      // its first token came
-//	b.Ended(p.ID)
+//	sc := schedule.New(host)
+//	p, ok := sc.Place(now, service, servers, schedule.Request{...})
+//	sc.RecordStart(p.ID, now)      // the first token arrived
+//	sc.RecordEnd(p.ID)
 package schedule
 
 import (
@@ -25,87 +30,94 @@
 )
 
 const (
-	// maxAge forgets placements whose end was never heard of. It is above
-	// the longest deadline that callers use.
-	maxAge = 30 * time.Second
-	// hostSilence is how long another host may tell nothing before it counts
-	// as gone: three of the messages that it sends when it has no news.
-	hostSilence = 1600 * time.Millisecond
-	// maxHelpers is how many more servers may read one prompt.
+	// maxRecordAge is the age at which placements are dropped whose end was never
+	// reported. It exceeds the longest deadline that callers use.
+	maxRecordAge = 30 * time.Second
+	// hostTimeout is how long another host may send no message before it counts
+	// as gone: three intervals of the messages that an idle host sends.
+	hostTimeout = 1600 * time.Millisecond
+	// maxHelpers is the number of servers besides the lead that may prefill one
+	// prompt.
 	maxHelpers = 16
 )
 
 type (
-	// ID names a placement among all hosts.
+	// ID identifies a placement across all hosts.
 	ID struct {
 		Host   uint32
 		Number uint32
 	}
 
-	// Request is what has to be placed.
+	// Request is a request to be placed.
 	Request struct {
 		Work Work
 		// Objective is the time left until the first event is late, Gap the
 		// longest pause between events that is in time.
 		Objective, Gap time.Duration
-		// Hall is where the request came in.
+		// Hall is the data hall in which the request arrived.
 		Hall string
-		// Workspace is whose it is, by [HashWorkspace].
+		// Workspace identifies the workspace of the request, by [HashWorkspace].
 		Workspace uint32
-		// Avoid are servers that have failed it.
+		// Avoid are servers on which the request has failed.
 		Avoid map[string]bool
-		// LeadOnly are servers that may lead it, and read nothing for others.
+		// LeadOnly are servers that may lead the request, but not help with a
+		// prompt that another server leads.
 		LeadOnly map[string]bool
-		// Fingerprint is the same for copies of one request; zero for none.
+		// Fingerprint is equal for copies of one request; zero for none.
 		Fingerprint uint64
-		// Isolated asks for a server on which no other such request runs, and OnlyCopy
-		// beside it that no copy runs anywhere. CopiesFailed says that several copies of
-		// it have failed together.
+		// Isolated asks for a server on which no other isolated request runs.
+		// OnlyCopy asks in addition that no copy of the request runs anywhere.
+		// CopiesFailed says that several copies of the request have failed
+		// together.
 		Isolated, OnlyCopy, CopiesFailed bool
 	}
 
-	// Placement is a request on its servers.
+	// Placement is a request together with the servers chosen for it.
 	Placement struct {
 		ID      ID
 		Service string
-		// Lead writes the answer; Helpers read parts of the prompt.
+		// Lead decodes the answer; Helpers prefill parts of the prompt.
 		Lead    string
 		Helpers []string
-		// MemoryShares are the memory that helpers set aside for the prompt.
+		// MemoryShares is the memory to be reserved on helpers for the prompt.
 		MemoryShares []MemoryShare
-		// Fits reports whether the memory for the request is there.
+		// Fits reports whether the servers have the memory for the request.
 		Fits bool
-		// DisplacementRatio is the value of what the servers could do instead, beside
-		// the value of the request: above 1 it had better come later.
+		// DisplacementRatio is the value of the work that the request displaces
+		// on the servers, relative to the value of the request: above 1, serving
+		// it later is better.
 		DisplacementRatio float64
-		// EnginesFilled is how many engines' memory the request fills, and SpareFraction the
-		// least part of the service's engines that doesn't read it.
+		// EnginesFilled is how many engines' memory the request fills, and
+		// SpareFraction a lower bound on the fraction of the service's engines
+		// that take no part in its prefill.
 		EnginesFilled, SpareFraction float64
-		// Workspace is whose it is, by [HashWorkspace], Part how that one stands
-		// beside others, and Full how scarce slots are, from 0 to 1.
+		// Workspace identifies the workspace of the request, by [HashWorkspace],
+		// Share is what that workspace uses compared with others, and
+		// SlotScarcity how scarce slots are, from 0 to 1.
 		Workspace    uint32
 		Share        WorkspaceShare
 		SlotScarcity float64
-		// Fingerprint is the same for copies of one request, and Apart says that no other
-		// request runs on its lead that has to run apart.
+		// Fingerprint is equal for copies of one request, and Isolated says that
+		// no other isolated request runs on the lead.
 		Fingerprint uint64
 		Isolated    bool
 		Work        Work
-		// Objective is the time from Begun until its first event is late.
+		// Objective is the time from PlacedAt until the first event is late.
 		Objective time.Duration
 		Gap       time.Duration
 		PlacedAt  time.Duration
-		// FirstToken is the predicted time to the first token from Begun.
+		// FirstToken is the predicted time from PlacedAt to the first token.
 		FirstToken time.Duration
-		// IdleFirstToken is the same if all servers were idle.
+		// IdleFirstToken is the same prediction for idle servers.
 		IdleFirstToken time.Duration
-		// PassTime is how long the lead's passes are expected to take.
+		// PassTime is the expected duration of the lead's passes.
 		PassTime time.Duration
-		// LeadRunning is how many other requests the lead had, LeadReads how long
-		// it had yet to read.
+		// LeadRunning is how many other requests ran on the lead at the time of
+		// the placement, LeadBacklog how long the lead needed for the prompts it
+		// had yet to prefill.
 		LeadRunning int
 		LeadBacklog time.Duration
-		writing     bool
+		decoding    bool
 	}
 
 	// MemoryShare is memory of one server, in tokens of a prompt.
@@ -114,75 +126,76 @@
 		Tokens int
 	}
 
-	// Scheduler is what runs where. It is safe for use by many goroutines.
+	// Scheduler tracks placements and chooses servers. It is safe for use by
+	// many goroutines.
 	Scheduler struct {
-		mu         sync.Mutex
-		host       uint32
-		next       uint32
-		placements map[ID]*Placement
-		byServer   map[string]*load
-		byMark     map[uint64][]*Placement
-		trouble    map[string]trouble
-		reports    map[string]reports       // of other hosts, by server
-		wrong      map[uint32]time.Duration // when other hosts' reports were wrong last
-		answers    map[string]answers       // by server
-		usual      map[string]answers       // by service
-		paces      map[string]pace
-		served     map[string]time.Duration // when servers last began to answer anybody
-		rates      map[string]rate          // of others' placements, by service
-		heard      map[uint32]time.Duration // when other hosts were heard last
-		random     func() float64           // from 0 to below 1
-		scratch    scratch
+		mu             sync.Mutex
+		host           uint32
+		next           uint32
+		placements     map[ID]*Placement
+		byServer       map[string]*serverLoad
+		byFingerprint  map[uint64][]*Placement
+		backoffs       map[string]backoff
+		reports        map[string]failureReports // of other hosts, by server
+		falseReports   map[uint32]time.Duration  // time of a host's last false report
+		serverAnswers  map[string]answerCounts
+		serviceAnswers map[string]answerCounts
+		paces          map[string]pace
+		firstTokens    map[string]time.Duration // time of a server's last first token of any request
+		remoteRates    map[string]rate          // placements of other hosts, by service
+		lastContact    map[uint32]time.Duration // by other host
+		random         func() float64           // in [0, 1)
+		scratch        scratch
 	}
 
-	// Option changes a board under construction.
+	// Option changes a scheduler under construction.
 	Option func(*Scheduler)
 
-	// load is what is placed on one server, in the order in which it became
-	// known: sums over it don't depend on chance.
-	load struct {
+	// serverLoad is the placements on one server, in the order in which they
+	// became known, so that floating-point sums over them are deterministic.
+	serverLoad struct {
 		placements []*Placement
 	}
 )
 
-// WithRandom sets the source of draws, numbers from 0 to below 1.
-func WithRandom(f func() float64) Option { return func(b *Scheduler) { b.random = f } }
+// WithRandom sets the source of random numbers, which lie in [0, 1).
+func WithRandom(f func() float64) Option { return func(sc *Scheduler) { sc.random = f } }
 
-// New returns an empty board of a host, whose number is in the ID of each
-// of its placements.
+// New returns a scheduler without placements for a host, whose number is in the
+// ID of each placement that the scheduler makes.
 func New(host uint32, os ...Option) *Scheduler {
-	b := &Scheduler{
-		host:       host,
-		placements: map[ID]*Placement{},
-		byServer:   map[string]*load{},
-		byMark:     map[uint64][]*Placement{},
-		trouble:    map[string]trouble{},
-		reports:    map[string]reports{},
-		wrong:      map[uint32]time.Duration{},
-		answers:    map[string]answers{},
-		usual:      map[string]answers{},
-		paces:      map[string]pace{},
-		served:     map[string]time.Duration{},
-		rates:      map[string]rate{},
-		random:     rand.Float64,
-		heard:      map[uint32]time.Duration{},
+	sc := &Scheduler{
+		host:           host,
+		placements:     map[ID]*Placement{},
+		byServer:       map[string]*serverLoad{},
+		byFingerprint:  map[uint64][]*Placement{},
+		backoffs:       map[string]backoff{},
+		reports:        map[string]failureReports{},
+		falseReports:   map[uint32]time.Duration{},
+		serverAnswers:  map[string]answerCounts{},
+		serviceAnswers: map[string]answerCounts{},
+		paces:          map[string]pace{},
+		firstTokens:    map[string]time.Duration{},
+		remoteRates:    map[string]rate{},
+		random:         rand.Float64,
+		lastContact:    map[uint32]time.Duration{},
 	}
 	for _, o := range os {
-		o(b)
+		o(sc)
 	}
-	return b
+	return sc
 }
 
-// Host returns the number of the board's host.
-func (b *Scheduler) Host() uint32 { return b.host }
+// Host returns the number of the scheduler's host.
+func (sc *Scheduler) Host() uint32 { return sc.host }
 
-// Place chooses servers and notes the placement. It reports false if no
-// server takes new work.
-func (b *Scheduler) Place(now time.Duration, s site.Service, servers []backend.Server, r Request) (Placement, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	able := b.able(now, servers, r.Avoid)
-	leads, ok := b.leads(now, able, r)
+// Place chooses servers for a request and records the placement. It reports
+// false if no server takes the request.
+func (sc *Scheduler) Place(now time.Duration, s site.Service, servers []backend.Server, r Request) (Placement, bool) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	available := sc.available(now, servers, r.Avoid)
+	leads, ok := sc.leadCandidates(now, available, r)
 	if !ok {
 		return Placement{}, false
 	}
@@ -193,172 +206,179 @@
 	}
 	if s.Engine == nil || r.Work.Prompt == 0 {
 		p.Fits = true
-		p.Lead = b.leastLoaded(leads, r.Hall).ID
+		p.Lead = sc.leastLoaded(leads, r.Hall).ID
 	} else {
-		b.choose(now, s.Engine, able, leads, r, p)
+		sc.choose(now, s.Engine, available, leads, r, p)
 	}
-	b.next++
-	p.ID = ID{b.host, b.next}
-	b.add(p)
+	sc.next++
+	p.ID = ID{sc.host, sc.next}
+	sc.add(p)
 	return *p, true
 }
 
-// AddRemote takes in a placement of another host.
-func (b *Scheduler) AddRemote(p Placement) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if _, ok := b.placements[p.ID]; !ok {
-		// This host's own are known to it. Counted too, those that it refuses
-		// under overload keep slots empty: of 2,215 streams asked of 30 engines
-		// 338 were in time, 689 without them, on the model of engines.
-		b.rates[p.Service] = b.rates[p.Service].with(p.PlacedAt)
-		b.add(&p)
+// AddRemote records a placement made by another host.
+func (sc *Scheduler) AddRemote(p Placement) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if _, ok := sc.placements[p.ID]; !ok {
+		// The rate estimates placements that this host doesn't know yet, so its
+		// own don't count. If they did, those that it refuses under overload
+		// would keep slots empty: in a simulation, of 2,215 streams offered to
+		// 30 engines 338 were in time, and 689 without them.
+		sc.remoteRates[p.Service] = sc.remoteRates[p.Service].increment(p.PlacedAt)
+		sc.add(&p)
 	}
 }
 
-// RecordStart notes that a placement's prompt has been read.
-func (b *Scheduler) RecordStart(id ID, now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if p := b.placements[id]; p != nil {
-		p.writing = true
-		b.served[p.Lead] = now
-		b.serves(p.Lead, now)
+// RecordStart records that the first token of a placement has arrived, so that
+// its prompt has been prefilled.
+func (sc *Scheduler) RecordStart(id ID, now time.Duration) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if p := sc.placements[id]; p != nil {
+		p.decoding = true
+		sc.firstTokens[p.Lead] = now
+		sc.distrustReporters(p.Lead, now)
 	}
 }
 
-// RecordEnd notes that a placement is over.
-func (b *Scheduler) RecordEnd(id ID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.remove(id)
+// RecordEnd removes a placement whose request has ended.
+func (sc *Scheduler) RecordEnd(id ID) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.remove(id)
 }
 
-// RecordContact notes that another host is there, whatever it tells.
-func (b *Scheduler) RecordContact(host uint32, now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.heard[host] = now
+// RecordContact records that a message from another host has arrived, of
+// whatever content.
+func (sc *Scheduler) RecordContact(host uint32, now time.Duration) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.lastContact[host] = now
 }
 
-// HostAlive reports whether another host has told something lately.
-func (b *Scheduler) HostAlive(host uint32, now time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	at, ok := b.heard[host]
-	return ok && now-at <= hostSilence
+// HostAlive reports whether a message from another host has arrived within the
+// host timeout.
+func (sc *Scheduler) HostAlive(host uint32, now time.Duration) bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	last, ok := sc.lastContact[host]
+	return ok && now-last <= hostTimeout
 }
 
-// Expire drops placements whose end was missed, and those of hosts that have
-// fallen silent: backend servers end the requests of a host that is gone.
-func (b *Scheduler) Expire(now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for h, at := range b.heard {
-		if now-at > hostSilence {
-			delete(b.heard, h)
+// Expire drops outdated state: placements that have exceeded the maximum age,
+// and those of hosts that have timed out, since backend servers end the requests
+// of a host that is gone.
+func (sc *Scheduler) Expire(now time.Duration) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	for h, last := range sc.lastContact {
+		if now-last > hostTimeout {
+			delete(sc.lastContact, h)
 		}
 	}
-	b.forgetReports(now)
-	for s, at := range b.served {
-		if now-at > maxAge {
-			delete(b.served, s)
+	sc.expireReports(now)
+	for s, last := range sc.firstTokens {
+		if now-last > maxRecordAge {
+			delete(sc.firstTokens, s)
 		}
 	}
-	for id, p := range b.placements {
-		_, alive := b.heard[id.Host]
-		if now-p.PlacedAt > maxAge || id.Host != b.host && !alive {
-			b.remove(id)
+	for id, p := range sc.placements {
+		_, alive := sc.lastContact[id.Host]
+		if now-p.PlacedAt > maxRecordAge || id.Host != sc.host && !alive {
+			sc.remove(id)
 		}
 	}
 }
 
-// PredictPause returns how long a server is predicted to say nothing on a stream, by
-// what is yet to be read there and what waits for slots.
-func (b *Scheduler) PredictPause(now time.Duration, e *site.Engine, s backend.Server) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// PredictPause returns how long a server is predicted to send nothing on a
+// stream, from the prompts it has yet to prefill and the requests that wait for
+// slots.
+func (sc *Scheduler) PredictPause(now time.Duration, e *site.Engine, s backend.Server) time.Duration {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
 	var st state
-	b.fill(&st, now, e, &s)
-	st.unknown = b.unknown(s.Service, now)
-	return st.pause(0) + st.wait()
+	sc.predictState(&st, now, e, &s)
+	st.unseen = sc.unseenPlacements(s.Service, now)
+	return st.pause(0) + st.slotWait()
 }
 
-// SinceFirstToken returns how long ago a server last began to answer a request, of this host
-// or another. It reports false if that isn't known.
-func (b *Scheduler) SinceFirstToken(server string, now time.Duration) (time.Duration, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	at, ok := b.served[server]
-	return now - at, ok
+// SinceFirstToken returns the time since a server last sent the first token of a
+// request, of this host or another. It reports false if no such time is known.
+func (sc *Scheduler) SinceFirstToken(server string, now time.Duration) (time.Duration, bool) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	last, ok := sc.firstTokens[server]
+	return now - last, ok
 }
 
-// PlacementCount returns how many placements a server has.
-func (b *Scheduler) PlacementCount(server string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.count(server)
+// PlacementCount returns the number of placements that a server leads or helps
+// with.
+func (sc *Scheduler) PlacementCount(server string) int {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.count(server)
 }
 
-func (b *Scheduler) add(p *Placement) {
-	b.placements[p.ID] = p
+func (sc *Scheduler) add(p *Placement) {
+	sc.placements[p.ID] = p
 	if p.Fingerprint != 0 {
-		b.byMark[p.Fingerprint] = append(b.byMark[p.Fingerprint], p)
+		sc.byFingerprint[p.Fingerprint] = append(sc.byFingerprint[p.Fingerprint], p)
 	}
 	for _, s := range p.servers() {
-		l := b.byServer[s]
+		l := sc.byServer[s]
 		if l == nil {
-			l = &load{}
-			b.byServer[s] = l
+			l = &serverLoad{}
+			sc.byServer[s] = l
 		}
 		l.placements = append(l.placements, p)
 	}
 }
 
-func (b *Scheduler) remove(id ID) {
-	p := b.placements[id]
+func (sc *Scheduler) remove(id ID) {
+	p := sc.placements[id]
 	if p == nil {
 		return
 	}
-	delete(b.placements, id)
+	delete(sc.placements, id)
 	if p.Fingerprint != 0 {
-		b.byMark[p.Fingerprint] = slices.DeleteFunc(b.byMark[p.Fingerprint], func(o *Placement) bool { return o == p })
-		if len(b.byMark[p.Fingerprint]) == 0 {
-			delete(b.byMark, p.Fingerprint)
+		sc.byFingerprint[p.Fingerprint] = slices.DeleteFunc(sc.byFingerprint[p.Fingerprint], func(o *Placement) bool { return o == p })
+		if len(sc.byFingerprint[p.Fingerprint]) == 0 {
+			delete(sc.byFingerprint, p.Fingerprint)
 		}
 	}
 	for _, s := range p.servers() {
-		l := b.byServer[s]
+		l := sc.byServer[s]
 		if l == nil {
 			continue
 		}
 		l.placements = slices.DeleteFunc(l.placements, func(o *Placement) bool { return o == p })
 		if len(l.placements) == 0 {
-			delete(b.byServer, s)
+			delete(sc.byServer, s)
 		}
 	}
 }
 
-func (b *Scheduler) count(server string) int {
-	if l := b.byServer[server]; l != nil {
+func (sc *Scheduler) count(server string) int {
+	if l := sc.byServer[server]; l != nil {
 		return len(l.placements)
 	}
 	return 0
 }
 
-// servers are the lead and the helpers.
+// servers returns the lead and the helpers.
 func (p *Placement) servers() []string {
 	return append([]string{p.Lead}, p.Helpers...)
 }
 
-// leastLoaded returns the server with the fewest placements for its slots,
-// and among equals one of the hall.
-func (b *Scheduler) leastLoaded(servers []*backend.Server, hall string) *backend.Server {
+// leastLoaded returns the server with the fewest placements per slot; among
+// equals it prefers one in the given hall.
+func (sc *Scheduler) leastLoaded(servers []*backend.Server, hall string) *backend.Server {
 	best, least := servers[0], 0.0
 	for i, s := range servers {
-		n := float64(b.count(s.ID)) / float64(max(s.Slots, 1))
+		n := float64(sc.count(s.ID)) / float64(max(s.Slots, 1))
 		if s.Hall != hall {
-			n += otherHall
+			n += otherHallPenalty
 		}
 		if i == 0 || n < least {
 			best, least = s, n
@@ -367,6 +387,6 @@
 	return best
 }
 
-// otherHall is what the way to another hall counts beside load, in slots'
-// share: a tie-breaker.
-const otherHall = 0.01
+// otherHallPenalty is added to the load of servers in other halls, as a fraction
+// of their slots: it is small, so that it only breaks ties.
+const otherHallPenalty = 0.01
--- a/core/schedule/schedule_test.go
+++ b/core/schedule/schedule_test.go
@@ -12,7 +12,7 @@
 	"slipcrank.example/core/site"
 )
 
-// engine is the one that the users publish.
+// engine is the model of engines that the users publish.
 var engine = &site.Engine{
 	Slots: 16, Memory: 232_000, Stride: 43,
 	Step: 1020 * time.Microsecond, PerWriter: 2260 * time.Nanosecond, PerContext: 4310 * time.Nanosecond,
@@ -40,21 +40,21 @@
 	return ss
 }
 
-func place(t *testing.T, b *schedule.Scheduler, ss []backend.Server, r schedule.Request) schedule.Placement {
+func place(t *testing.T, sc *schedule.Scheduler, ss []backend.Server, r schedule.Request) schedule.Placement {
 	t.Helper()
-	p, ok := b.Place(0, service, ss, r)
+	p, ok := sc.Place(0, service, ss, r)
 	if !ok {
-		t.Fatal("no server was found")
+		t.Fatal("no server takes the request")
 	}
 	return p
 }
 
-func TestShortStreamsStayTogether(t *testing.T) {
-	b := schedule.New(1)
+func TestShortStreamsShareEngines(t *testing.T) {
+	sc := schedule.New(1)
 	used := map[string]int{}
 	for range 12 {
-		p := place(t, b, servers(18), short)
-		b.RecordStart(p.ID, 0)
+		p := place(t, sc, servers(18), short)
+		sc.RecordStart(p.ID, 0)
 		used[p.Lead]++
 	}
 	if len(used) > 2 {
@@ -62,9 +62,10 @@
 	}
 }
 
-// TestSlotsAreLeftForWhatIsNotKnownYet has one engine with two free slots
-// and others that are idle.
-func TestSlotsAreLeftForWhatIsNotKnownYet(t *testing.T) {
+// TestUnseenPlacementsTakeFreeSlots places a stream where one engine has two free slots
+// and the others are idle. At a high rate of placements by other hosts, some that aren't
+// known yet have probably taken the two slots, so the stream has to go to an idle engine.
+func TestUnseenPlacementsTakeFreeSlots(t *testing.T) {
 	for name, tc := range map[string]struct {
 		perSecond int // placements by other hosts
 		idle      bool
@@ -73,319 +74,324 @@
 		"many placements": {400, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, ss := schedule.New(1), servers(6)
-			hear := func(n int, server string) {
+			sc, ss := schedule.New(1), servers(6)
+			addRemote := func(n int, server string) {
 				p := schedule.Placement{
 					ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: server,
 					Work: short.Work, Gap: short.Gap, Objective: short.Objective,
 				}
-				b.AddRemote(p)
-				b.RecordStart(p.ID, 0)
+				sc.AddRemote(p)
+				sc.RecordStart(p.ID, 0)
 			}
 			for n := range engine.Slots - 2 {
-				hear(n, ss[0].ID)
+				addRemote(n, ss[0].ID)
 			}
 			for n := range tc.perSecond {
-				hear(100+n, "elsewhere")
+				addRemote(100+n, "elsewhere")
 			}
-			if p := place(t, b, ss, short); (p.Lead != ss[0].ID) != tc.idle {
+			if p := place(t, sc, ss, short); (p.Lead != ss[0].ID) != tc.idle {
 				t.Errorf("the stream is on %s", p.Lead)
 			}
 		})
 	}
 }
 
-// TestOwnPlacementsAreKnown has a host refuse hundreds of streams that it has
-// chosen engines for: they are no sign that others place as many unheard.
-func TestOwnPlacementsAreKnown(t *testing.T) {
-	b, ss := schedule.New(1), servers(6)
+// TestOwnPlacementsAreNotUnseen has a host end hundreds of streams right after it has
+// placed them, as when it refuses them. They must not count towards the rate from which
+// unseen placements of other hosts are estimated, which would keep free slots empty.
+func TestOwnPlacementsAreNotUnseen(t *testing.T) {
+	sc, ss := schedule.New(1), servers(6)
 	for n := range engine.Slots - 2 {
-		b.AddRemote(schedule.Placement{
+		sc.AddRemote(schedule.Placement{
 			ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: ss[0].ID,
 			Work: short.Work, Gap: short.Gap, Objective: short.Objective,
 		})
-		b.RecordStart(schedule.ID{Host: 2, Number: uint32(n)}, 0)
+		sc.RecordStart(schedule.ID{Host: 2, Number: uint32(n)}, 0)
 	}
 	for range 400 {
-		b.RecordEnd(place(t, b, ss, short).ID)
+		sc.RecordEnd(place(t, sc, ss, short).ID)
 	}
-	if p := place(t, b, ss, short); p.Lead != ss[0].ID {
-		t.Errorf("the stream is on %s, which is idle, beside two free slots", p.Lead)
+	if p := place(t, sc, ss, short); p.Lead != ss[0].ID {
+		t.Errorf("the stream is on idle engine %s, want the engine with two free slots", p.Lead)
 	}
 }
 
-// TestHostsThatChooseAtOnceDiffer has many hosts see the same two engines that
-// already have streams.
-func TestHostsThatChooseAtOnceDiffer(t *testing.T) {
+// TestConcurrentChoicesOfHostsDiffer has many hosts place a stream with the same view, in
+// which two engines already have streams. Hosts that all took the first of them would
+// overload it.
+func TestConcurrentChoicesOfHostsDiffer(t *testing.T) {
 	ss, leads := servers(6), map[string]int{}
 	for host := range uint32(60) {
-		b := schedule.New(host + 10)
+		sc := schedule.New(host + 10)
 		for n := range 2 {
-			b.AddRemote(schedule.Placement{
+			sc.AddRemote(schedule.Placement{
 				ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: ss[n].ID,
 				Work: short.Work, Gap: short.Gap, Objective: short.Objective,
 			})
 		}
-		leads[place(t, b, ss, short).Lead]++
+		leads[place(t, sc, ss, short).Lead]++
 	}
 	if len(leads) != 2 {
-		t.Errorf("60 hosts took %v, want both engines and no idle one", leads)
+		t.Errorf("60 hosts chose %v, want both engines with streams and no idle one", leads)
 	}
 }
 
-func TestLongPromptSparesShortStreams(t *testing.T) {
-	b := schedule.New(1)
+func TestLongPromptAvoidsEnginesWithShortStreams(t *testing.T) {
+	sc := schedule.New(1)
 	ss := servers(18)
 	busy := map[string]bool{}
 	for range 30 {
-		p := place(t, b, ss, short)
-		b.RecordStart(p.ID, 0)
+		p := place(t, sc, ss, short)
+		sc.RecordStart(p.ID, 0)
 		busy[p.Lead] = true
 	}
-	// Even in 18 parts, reading this takes longer than short streams endure.
+	// Even in 18 parts, its prefill takes longer than the gap of short streams.
 	r := long
 	r.Work.Prompt = 230_000
-	p := place(t, b, ss, r)
+	p := place(t, sc, ss, r)
 	if p.FirstToken > r.Objective {
-		t.Errorf("the long prompt is predicted after %v, over its objective", p.FirstToken)
+		t.Errorf("the first token of the long prompt is predicted after %v, over its objective", p.FirstToken)
 	}
 	for _, s := range append([]string{p.Lead}, p.Helpers...) {
 		if busy[s] {
-			t.Errorf("the long prompt is read on %s beside short streams", s)
+			t.Errorf("the long prompt is prefilled on %s beside short streams", s)
 		}
 	}
 	if len(p.Helpers) == 0 {
-		t.Error("the long prompt is read by one engine although others are idle")
+		t.Error("the long prompt is prefilled by one engine although others are idle")
 	}
 }
 
-// TestLongPromptsDisplaceWhereEnginesAreBusy has other long prompts be read,
-// each by one engine.
-func TestLongPromptsDisplaceWhereEnginesAreBusy(t *testing.T) {
+// TestDisplacementGrowsWithBusyEngines places a long prompt while engines prefill other
+// long prompts, one on each.
+func TestDisplacementGrowsWithBusyEngines(t *testing.T) {
 	for name, tc := range map[string]struct {
 		busy      int // of 18 engines
 		displaces bool
 	}{
-		"no engine busy":      {0, false},
-		"a third of them":     {6, false},
-		"nearly all of them":  {16, true},
-		"each of the engines": {18, true},
+		"no engine busy":  {0, false},
+		"a third busy":    {6, false},
+		"nearly all busy": {16, true},
+		"all busy":        {18, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, ss := schedule.New(1), servers(18)
+			sc, ss := schedule.New(1), servers(18)
 			for n := range tc.busy {
-				b.AddRemote(schedule.Placement{
+				sc.AddRemote(schedule.Placement{
 					ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: service.Name, Lead: ss[n].ID,
 					Work: long.Work, Gap: long.Gap, Objective: long.Objective,
 				})
 			}
 			r := long
 			r.Work.Prompt = 230_000
-			if p := place(t, b, ss, r); (p.DisplacementRatio > 1) != tc.displaces {
-				t.Errorf("it displaces %.2f times its value", p.DisplacementRatio)
+			if p := place(t, sc, ss, r); (p.DisplacementRatio > 1) != tc.displaces {
+				t.Errorf("the request displaces %.2f times its value", p.DisplacementRatio)
 			}
 		})
 	}
 }
 
-func TestFullEnginesLeadNothingMore(t *testing.T) {
+func TestFullEnginesLeadNoMoreRequests(t *testing.T) {
 	for name, tc := range map[string]struct {
 		request schedule.Request
-		fill    int // of two engines, requests that fill one
+		fill    int // number of requests that fill an engine
 	}{
 		"slots":  {short, 16},
 		"memory": {long, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := schedule.New(1)
+			sc := schedule.New(1)
 			led := map[string]int{}
 			for range 2 * tc.fill {
-				p := place(t, b, servers(2), tc.request)
-				b.RecordStart(p.ID, 0)
+				p := place(t, sc, servers(2), tc.request)
+				sc.RecordStart(p.ID, 0)
 				led[p.Lead]++
 			}
 			for s, n := range led {
 				if n > tc.fill {
-					t.Errorf("%s leads %d requests, room is for %d", s, n, tc.fill)
+					t.Errorf("%s leads %d requests, but has room for %d", s, n, tc.fill)
 				}
 			}
 		})
 	}
 }
 
-// TestDrawsSpareFullEngines has draws of twenty kinds choose among engines that
-// cost nearly the least.
-func TestDrawsSpareFullEngines(t *testing.T) {
+// TestRandomLeadIsNotAFullEngine places streams with twenty seeds of the draw among
+// engines of nearly equal cost. The draw must not take a full engine while another one
+// has a free slot.
+func TestRandomLeadIsNotAFullEngine(t *testing.T) {
 	for seed := range uint64(20) {
-		b := schedule.New(1, schedule.WithRandom(rand.New(rand.NewPCG(seed, 1)).Float64))
+		sc := schedule.New(1, schedule.WithRandom(rand.New(rand.NewPCG(seed, 1)).Float64))
 		led := map[string]int{}
 		for range 2 * engine.Slots {
-			p := place(t, b, servers(2), short)
-			b.RecordStart(p.ID, 0)
+			p := place(t, sc, servers(2), short)
+			sc.RecordStart(p.ID, 0)
 			led[p.Lead]++
 		}
 		for s, n := range led {
 			if n > engine.Slots {
-				t.Errorf("seed %d: %s leads %d streams on %d slots beside free ones", seed, s, n, engine.Slots)
+				t.Errorf("seed %d: %s leads %d streams on %d slots while the other engine has free slots", seed, s, n, engine.Slots)
 			}
 		}
 	}
 }
 
-func TestFailedServersRest(t *testing.T) {
-	b := schedule.New(1)
+func TestFailedServerBacksOff(t *testing.T) {
+	sc := schedule.New(1)
 	ss := servers(3)
-	first := place(t, b, ss, short)
-	b.RecordEnd(first.ID)
-	rest := b.RecordFailure(first.Lead, 0)
-	if p := place(t, b, ss, short); p.Lead == first.Lead {
-		t.Errorf("%s got a request while it rests", p.Lead)
+	first := place(t, sc, ss, short)
+	sc.RecordEnd(first.ID)
+	backoff := sc.RecordFailure(first.Lead, 0)
+	if p := place(t, sc, ss, short); p.Lead == first.Lead {
+		t.Errorf("%s got a request during its backoff", p.Lead)
 	}
-	p, _ := b.Place(rest+time.Millisecond, service, ss[:1], short)
+	p, _ := sc.Place(backoff+time.Millisecond, service, ss[:1], short)
 	if p.Lead != ss[0].ID {
-		t.Errorf("the only server is not used, got %q", p.Lead)
+		t.Errorf("the only server is not used after its backoff, got %q", p.Lead)
 	}
 }
 
-func TestNewsOfOtherHostsCounts(t *testing.T) {
+func TestRemotePlacementsCount(t *testing.T) {
 	ss := servers(2)
-	here, there := schedule.New(1), schedule.New(2)
-	p := place(t, there, ss, long)
-	here.AddRemote(p)
-	if own := place(t, here, ss, long); own.Lead == p.Lead {
-		t.Errorf("both hosts lead from %s", own.Lead)
+	local, remote := schedule.New(1), schedule.New(2)
+	p := place(t, remote, ss, long)
+	local.AddRemote(p)
+	if own := place(t, local, ss, long); own.Lead == p.Lead {
+		t.Errorf("both hosts chose %s as lead", own.Lead)
 	}
-	here.RecordEnd(p.ID)
-	if n := here.PlacementCount(p.Lead); n > 1 {
-		t.Errorf("%s still has %d placements after the end was heard", p.Lead, n)
+	local.RecordEnd(p.ID)
+	if n := local.PlacementCount(p.Lead); n > 1 {
+		t.Errorf("%s still has %d placements after the end of one was reported", p.Lead, n)
 	}
 }
 
-func TestRequestAvoidsServersThatFailedIt(t *testing.T) {
+func TestRetryAvoidsServersThatFailed(t *testing.T) {
 	r := short
 	r.Avoid = map[string]bool{"s00": true}
 	p := place(t, schedule.New(1), servers(2), r)
 	if slices.Contains(append(p.Helpers, p.Lead), "s00") {
-		t.Error("a server that failed the request got it again")
+		t.Error("a server on which the request failed got it again")
 	}
 }
 
-func TestPlacementsOfSilentHostsAreForgotten(t *testing.T) {
-	const told = time.Second
+func TestPlacementsOfTimedOutHostsExpire(t *testing.T) {
+	const reported = time.Second
 	for name, tc := range map[string]struct {
 		now  time.Duration
 		want int
 	}{
-		"heard of a moment ago": {told + time.Second, 1},
-		"silent for long":       {told + 5*time.Second, 0},
+		"recent message":     {reported + time.Second, 1},
+		"no message for 5 s": {reported + 5*time.Second, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ss := servers(1)
-			here, there := schedule.New(1), schedule.New(2)
-			p := place(t, there, ss, short)
-			p.PlacedAt = told
-			here.RecordContact(p.ID.Host, told)
-			here.AddRemote(p)
-			here.Expire(tc.now)
-			if n := here.PlacementCount(p.Lead); n != tc.want {
+			local, remote := schedule.New(1), schedule.New(2)
+			p := place(t, remote, ss, short)
+			p.PlacedAt = reported
+			local.RecordContact(p.ID.Host, reported)
+			local.AddRemote(p)
+			local.Expire(tc.now)
+			if n := local.PlacementCount(p.Lead); n != tc.want {
 				t.Errorf("%d placements of the other host count, want %d", n, tc.want)
 			}
 		})
 	}
 }
 
-func TestServersThatFailMoreThanOthersRest(t *testing.T) {
+func TestServersThatFailMoreThanOthersBackOff(t *testing.T) {
 	for name, tc := range map[string]struct {
-		usual, own int // one of so many answers is a failure; 0 for none
-		rests      bool
+		usual, own int // answers per failure, of the other servers and of this one; 0 for no failures
+		backsOff   bool
 	}{
-		"as often as the others":   {7, 7, false},
-		"never, as the others":     {0, 0, false},
-		"every second one":         {7, 2, true},
-		"every second, others not": {0, 2, true},
+		"same rate as others":              {7, 7, false},
+		"no failures":                      {0, 0, false},
+		"every second answer":              {7, 2, true},
+		"every second answer, others none": {0, 2, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := schedule.New(1)
-			fails := func(n, of int) bool { return of > 0 && n%of == of-1 }
-			rests := false
+			sc := schedule.New(1)
+			fails := func(n, period int) bool { return period > 0 && n%period == period-1 }
+			backsOff := false
 			for n := range 60 {
 				for _, s := range []string{"a", "b", "c", "d"} {
-					b.RecordAnswer("s", s, fails(n, tc.usual), 0)
+					sc.RecordAnswer("s", s, fails(n, tc.usual), 0)
 				}
-				if b.RecordAnswer("s", "own", fails(n, tc.own), 0) > 0 {
-					rests = true
+				if sc.RecordAnswer("s", "own", fails(n, tc.own), 0) > 0 {
+					backsOff = true
 				}
 			}
-			if rests != tc.rests {
-				t.Errorf("it rests: %v, want %v", rests, tc.rests)
+			if backsOff != tc.backsOff {
+				t.Errorf("the server backs off: %v, want %v", backsOff, tc.backsOff)
 			}
 		})
 	}
 }
 
-func TestSlowEnginesGetLess(t *testing.T) {
-	b := schedule.New(1)
+func TestSlowEngineGetsNoRequest(t *testing.T) {
+	sc := schedule.New(1)
 	ss := servers(2)
-	first := place(t, b, ss, short)
-	b.RecordEnd(first.ID)
+	first := place(t, sc, ss, short)
+	sc.RecordEnd(first.ID)
 	for range 30 {
-		b.RecordPass(first.Lead, 8*first.PassTime, first.PassTime, 0)
+		sc.RecordPass(first.Lead, 8*first.PassTime, first.PassTime, 0)
 	}
-	other := place(t, b, ss, short)
+	other := place(t, sc, ss, short)
 	if other.Lead == first.Lead {
 		t.Errorf("%s got the request although it is eight times as slow", first.Lead)
 	}
-	b.RecordEnd(other.ID)
-	// After a while without news it is tried again.
-	p, _ := b.Place(time.Minute, service, ss[:1], short)
+	sc.RecordEnd(other.ID)
+	// An old observation no longer counts.
+	p, _ := sc.Place(time.Minute, service, ss[:1], short)
 	if p.FirstToken > 2*first.FirstToken {
-		t.Errorf("after a minute %v is predicted, at first %v", p.FirstToken, first.FirstToken)
+		t.Errorf("the predicted time to the first token is %v after a minute, and was %v at first", p.FirstToken, first.FirstToken)
 	}
 }
 
-func TestPromptInTimeAloneGetsNoHelpers(t *testing.T) {
+func TestNoHelpersIfOneEngineIsInTime(t *testing.T) {
 	r := short
 	r.Work.Prompt = 10_000
 	if p := place(t, schedule.New(1), servers(18), r); len(p.Helpers) > 0 {
-		t.Errorf("%d helpers for a prompt that one engine reads in time", len(p.Helpers))
+		t.Errorf("%d helpers for a prompt that one engine prefills in time", len(p.Helpers))
 	}
 }
 
-// TestServerThatOthersReportRests has other hosts report servers.
-func TestServerThatOthersReportRests(t *testing.T) {
+// TestReportedServerBacksOff has other hosts report failures of servers. Reports of one
+// host, old reports and reports of hosts that can't reach any server must not keep a
+// working server from requests.
+func TestReportedServerBacksOff(t *testing.T) {
 	for name, tc := range map[string]struct {
-		hosts   []uint32
-		servers int // that each of them reports
-		serves  int // of those, to others
-		after   time.Duration
-		rests   bool
+		hosts    []uint32
+		servers  int // that each host reports
+		serves   int // how many of those answer this host afterwards
+		after    time.Duration
+		backsOff bool
 	}{
-		"one host":                           {[]uint32{2}, 1, 0, 0, false},
-		"one host twice":                     {[]uint32{2, 2}, 1, 0, 0, false},
-		"two hosts":                          {[]uint32{2, 3}, 1, 0, 0, true},
-		"a hall that is cut off from two":    {[]uint32{2, 3, 4}, 12, 0, 0, true},
-		"two hosts, a while ago":             {[]uint32{2, 3}, 1, 0, 3 * time.Second, false},
-		"two hosts without a way to servers": {[]uint32{2, 3}, 18, 1, 0, false},
+		"one host":                             {[]uint32{2}, 1, 0, 0, false},
+		"one host twice":                       {[]uint32{2, 2}, 1, 0, 0, false},
+		"two hosts":                            {[]uint32{2, 3}, 1, 0, 0, true},
+		"twelve servers of a partitioned hall": {[]uint32{2, 3, 4}, 12, 0, 0, true},
+		"two hosts, 3 s ago":                   {[]uint32{2, 3}, 1, 0, 3 * time.Second, false},
+		"two hosts that reach no server":       {[]uint32{2, 3}, 18, 1, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ss, chosen := servers(18), false
-			for range 40 { // one of the three best engines is drawn
-				b := schedule.New(1)
+			for range 40 { // the lead is drawn from three engines
+				sc := schedule.New(1)
 				for n := range tc.servers {
 					// The first server is reported last.
 					server := ss[tc.servers-1-n].ID
 					for _, h := range tc.hosts {
-						b.RecordRemoteFailure(h, server, 0)
+						sc.RecordRemoteFailure(h, server, 0)
 					}
 					if n < tc.serves {
-						b.RecordAnswer(service.Name, server, false, 0)
+						sc.RecordAnswer(service.Name, server, false, 0)
 					}
 				}
-				p, ok := b.Place(tc.after, service, ss, short)
+				p, ok := sc.Place(tc.after, service, ss, short)
 				chosen = chosen || ok && p.Lead == ss[0].ID
 			}
-			if chosen == tc.rests {
-				t.Errorf("the server rests: %v, want %v", !chosen, tc.rests)
+			if chosen == tc.backsOff {
+				t.Errorf("the server backs off: %v, want %v", !chosen, tc.backsOff)
 			}
 		})
 	}
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -10,44 +10,47 @@
 )
 
 const (
-	// leastPrice and mostPrice bound what a workspace's part of the engines'
-	// time does to the price of what its requests displace: at the least,
-	// requests that displace four times their value are still turned away.
-	leastPrice, mostPrice = 0.25, 4
-	// evenTimes is from how many times an even part on a workspace holds too
-	// much. Of two workspaces one does with three quarters.
-	evenTimes = 1.5
+	// minWeight and maxWeight bound the weight of a workspace's requests. At the
+	// minimum, requests that displace more than four times their value are still
+	// refused.
+	minWeight, maxWeight = 0.25, 4
+	// overShareFactor is how many times an equal share a workspace may hold before
+	// it counts as over its share. With two workspaces, that is three quarters.
+	overShareFactor = 1.5
 )
 
 type (
-	// WorkspaceShare is how a request's workspace stands beside others on the engines of
-	// its service, by what is placed there. Hosts know it from placements alone:
-	// nothing else is told, and it is as old as they are.
+	// WorkspaceShare compares the engine time that a workspace holds on a service
+	// with that of other workspaces. Hosts derive it from the placements that they
+	// know and exchange nothing else for it, so it is as current as those are.
 	WorkspaceShare struct {
-		// Weight is by how much what its requests displace counts: the part of
-		// the engines' time that the workspace holds, beside the mean of that
-		// part over all of that time. So over all that is placed the mean is 1,
-		// and what a workspace that crowds out others pays more, others pay less.
+		// Weight multiplies the displacement of the workspace's requests: the
+		// workspace's fraction of the engine time, divided by the mean of the
+		// workspaces' fractions weighted by engine time. The mean weight over all
+		// placed work is therefore 1: the higher the weight of a workspace that
+		// crowds out others, the lower the weights of these.
 		Weight float64
-		// Fraction is what the workspace holds of the engines' time, from 0 to 1,
-		// and Workspaces how many hold any, this one among them.
+		// Fraction is the workspace's fraction of the engine time, from 0 to 1, and
+		// Workspaces the number of workspaces that hold any, including this one.
 		Fraction   float64
 		Workspaces int
-		// OverShare reports whether that is much more than an even part.
+		// OverShare reports whether Fraction exceeds an equal share by more than
+		// the permitted factor.
 		OverShare bool
 	}
 
-	// holders are the engines' time that is given to each workspace, in the
-	// order in which they come up: sums over it don't depend on chance.
-	holders struct {
+	// workspaceTimes is the engine time of each workspace, in the order of their
+	// first placements, so that floating-point sums over it are deterministic.
+	workspaceTimes struct {
 		index map[uint32]int
 		busy  []time.Duration
 	}
 )
 
-// HashWorkspace returns the number by which hosts tell each other whose a
-// placement is, zero for an empty name. Two workspaces with the same number, a
-// chance of 1 in 24 that any two of 19,000 have it, count as one.
+// HashWorkspace returns the number by which hosts identify the workspace of a
+// placement to each other: the low 32 bits of a hash of its name, or zero for an
+// empty name. Two workspaces with the same number count as one; among 19,000
+// workspaces the chance that any two collide is 1 in 24.
 func HashWorkspace(name string) uint32 {
 	if name == "" {
 		return 0
@@ -55,44 +58,45 @@
 	return uint32(xxhash.Sum64String(name))
 }
 
-// part compares what a request's workspace holds already with what others hold.
-// The request itself doesn't count: a prompt of 500,000 tokens keeps an engine
-// busy for 20 s, and would make any workspace look like a crowd.
-func (b *Scheduler) part(e *site.Engine, servers []*backend.Server, r Request) WorkspaceShare {
-	hs := &b.scratch.holders
-	clear(hs.index)
-	hs.busy = hs.busy[:0]
-	hs.give(r.Workspace, 0)
+// workspaceShare compares the engine time that a request's workspace already holds
+// with that of others. The request itself doesn't count: a prompt of 500,000 tokens
+// keeps an engine busy for 20 s and would put any workspace over its share.
+func (sc *Scheduler) workspaceShare(e *site.Engine, servers []*backend.Server, r Request) WorkspaceShare {
+	times := &sc.scratch.workspaceTimes
+	clear(times.index)
+	times.busy = times.busy[:0]
+	times.add(r.Workspace, 0)
 	for _, s := range servers {
-		l := b.byServer[s.ID]
+		l := sc.byServer[s.ID]
 		if l == nil {
 			continue
 		}
 		for _, p := range l.placements {
 			if p.Lead == s.ID {
-				hs.give(p.Workspace, engineTime(e, p.Work, p.writing))
+				times.add(p.Workspace, engineTime(e, p.Work, p.decoding))
 			}
 		}
 	}
-	return partOf(hs.busy)
+	return shareOfFirst(times.busy)
 }
 
-// give adds to the time that a workspace holds.
-func (h *holders) give(workspace uint32, busy time.Duration) {
-	i, known := h.index[workspace]
-	if !known {
-		if h.index == nil {
-			h.index = map[uint32]int{}
+// add adds to the engine time of a workspace.
+func (t *workspaceTimes) add(workspace uint32, busy time.Duration) {
+	i, found := t.index[workspace]
+	if !found {
+		if t.index == nil {
+			t.index = map[uint32]int{}
 		}
-		i = len(h.busy)
-		h.index[workspace] = i
-		h.busy = append(h.busy, 0)
+		i = len(t.busy)
+		t.index[workspace] = i
+		t.busy = append(t.busy, 0)
 	}
-	h.busy[i] += busy
+	t.busy[i] += busy
 }
 
-// partOf returns the part of the first of the workspaces that hold so much.
-func partOf(busy []time.Duration) WorkspaceShare {
+// shareOfFirst returns the share of the first of several workspaces, from the
+// engine time of each.
+func shareOfFirst(busy []time.Duration) WorkspaceShare {
 	var all, squares float64
 	for _, d := range busy {
 		all += d.Seconds()
@@ -103,19 +107,19 @@
 	}
 	fraction := busy[0].Seconds() / all
 	return WorkspaceShare{
-		Weight:     min(max(fraction*all*all/squares, leastPrice), mostPrice),
+		Weight:     min(max(fraction*all*all/squares, minWeight), maxWeight),
 		Fraction:   fraction,
 		Workspaces: len(busy),
-		OverShare:  fraction*float64(len(busy)) > evenTimes,
+		OverShare:  fraction*float64(len(busy)) > overShareFactor,
 	}
 }
 
-// engineTime is for how long a request keeps one engine busy: all of it while it
-// is read, and a slot's part of it while it writes.
-func engineTime(e *site.Engine, w Work, read bool) time.Duration {
+// engineTime returns how long a request keeps one engine busy: the whole engine
+// during its prefill, unless that is over, and one slot's part of it during decode.
+func engineTime(e *site.Engine, w Work, prefilled bool) time.Duration {
 	t := time.Duration(w.Answer) * e.Step / time.Duration(max(e.Slots, 1))
-	if !read {
-		t += readTime(e, w.Prompt, 1)
+	if !prefilled {
+		t += prefillTime(e, w.Prompt, 1)
 	}
 	return t
 }
--- a/core/schedule/slots.go
+++ b/core/schedule/slots.go
@@ -6,97 +6,100 @@
 )
 
 const (
-	// newsTime is how long it takes until other hosts know of a placement: the
-	// way between halls, and the time in which hosts with a fifth of a core
-	// get to read it. Decisions on such hosts are 2 to 10 ms old when they
-	// leave.
-	newsTime = 10 * time.Millisecond
-	// rateTime is over how long the rate of placements is taken.
-	rateTime = time.Second
-	// rarest is below what likelihood numbers of unknown placements are left
-	// out.
-	rarest = 0.005
+	// propagationDelay is the time until other hosts know of a placement: the
+	// network delay between halls, and the time until a host with a fifth of a
+	// core reads the message. Such hosts send their messages 2 to 10 ms after the
+	// decision.
+	propagationDelay = 10 * time.Millisecond
+	// rateWindow is the time constant of the decay of placement rates.
+	rateWindow = time.Second
+	// minProbability is the probability below which larger numbers of unseen
+	// placements are left out.
+	minProbability = 0.005
 )
 
-// rate is a decayed count of placements.
+// rate is an exponentially decayed count of placements.
 type rate struct {
-	count float64
-	at    time.Duration
+	count     float64
+	updatedAt time.Duration
 }
 
-// with returns the rate with one more placement.
-func (r rate) with(now time.Duration) rate {
-	return rate{r.count*r.kept(now) + 1, now}
+// increment returns the rate with one more placement.
+func (r rate) increment(now time.Duration) rate {
+	return rate{r.count*r.decay(now) + 1, now}
 }
 
-// perSecond is the rate now.
+// perSecond returns the rate at the given time.
 func (r rate) perSecond(now time.Duration) float64 {
-	return r.count * r.kept(now) / rateTime.Seconds()
+	return r.count * r.decay(now) / rateWindow.Seconds()
 }
 
-func (r rate) kept(now time.Duration) float64 {
-	return math.Exp(-float64(max(now-r.at, 0)) / float64(rateTime))
+// decay returns the factor by which the count has decayed since its last update.
+func (r rate) decay(now time.Duration) float64 {
+	return math.Exp(-float64(max(now-r.updatedAt, 0)) / float64(rateWindow))
 }
 
-// likely returns how likely 0, 1, 2 .. placements are there that other hosts
-// have made and that aren't known here yet. Hosts rank engines alike, so what
-// comes at the same time goes to the same few.
-func likely(perSecond float64) []float64 {
-	mean := perSecond * newsTime.Seconds()
+// unseenProbabilities returns the probabilities of 0, 1, 2 .. placements that
+// other hosts have made but that this host hasn't learned of. All hosts rank
+// engines alike, so requests that arrive at the same time go to the same few
+// engines; each engine is therefore expected to get all unseen placements.
+func unseenProbabilities(perSecond float64) []float64 {
+	mean := perSecond * propagationDelay.Seconds()
 	var ps []float64
 	p := math.Exp(-mean)
 	for n := 1; ; n++ {
 		ps = append(ps, p)
 		p *= mean / float64(n)
-		if p < rarest && float64(n) > mean {
+		if p < minProbability && float64(n) > mean {
 			return ps
 		}
 	}
 }
 
-// turnover is the mean time between two ends of requests on the engine once
-// all its slots are taken, if all that run write as many tokens as they are
-// expected to and what is yet to be read now is all that is read meanwhile.
+// turnover returns the mean time between two ends of requests on the engine once
+// all its slots are taken. It assumes that each running request decodes its
+// expected number of tokens, and that nothing but the present backlog is
+// prefilled meanwhile.
 func (s *state) turnover() time.Duration {
 	if s.running == 0 || s.server.Slots == 0 {
 		return 0
 	}
-	passes := float64(s.answers) / float64(s.running) / float64(s.stride)
-	return time.Duration((passes*float64(s.pass) + float64(s.reading)) / float64(s.server.Slots))
+	passes := float64(s.answerTokens) / float64(s.running) / float64(s.stride)
+	return time.Duration((passes*float64(s.passTime) + float64(s.backlog)) / float64(s.server.Slots))
 }
 
-// wait is the mean time until a slot is free for one more request.
-func (s *state) wait() time.Duration {
+// slotWait returns the mean time until a slot is free for one more request.
+func (s *state) slotWait() time.Duration {
 	var before float64
-	for n, p := range s.unknown {
+	for n, p := range s.unseen {
 		before += p * float64(max(s.running+n+1-s.server.Slots, 0))
 	}
 	return time.Duration(before * float64(s.turnover()))
 }
 
-// slotRisk is how likely the wait for a slot is longer than slack. Requests
-// end independently of each other, so the number that ends in a time is
-// Poisson distributed.
-func (s *state) slotRisk(slack time.Duration) float64 {
+// slotWaitRisk returns the probability that the wait for a slot exceeds slack.
+// Requests end independently of each other, so the number that end in a given
+// time is Poisson distributed.
+func (s *state) slotWaitRisk(slack time.Duration) float64 {
 	t := s.turnover()
 	if t == 0 {
 		return 0
 	}
-	if s.running+len(s.unknown) <= s.server.Slots {
-		return 0 // whatever isn't known finds a slot
+	if s.running+len(s.unseen) <= s.server.Slots {
+		return 0 // there is a slot for each unseen placement
 	}
 	mean := max(float64(slack), 0) / float64(t)
 	none := math.Exp(-mean)
 	var risk float64
-	for n, p := range s.unknown {
-		risk += p * fewer(s.running+n+1-s.server.Slots, mean, none)
+	for n, p := range s.unseen {
+		risk += p * poissonBelow(s.running+n+1-s.server.Slots, mean, none)
 	}
 	return risk
 }
 
-// fewer is how likely a Poisson distributed number of the given mean is below n;
-// none is how likely it is 0.
-func fewer(n int, mean, none float64) float64 {
+// poissonBelow returns the probability that a Poisson distributed number of the
+// given mean is below n; none is the probability that it is 0.
+func poissonBelow(n int, mean, none float64) float64 {
 	var sum float64
 	p := none
 	for i := range max(n, 0) {
@@ -106,7 +109,8 @@
 	return min(sum, 1)
 }
 
-// unknown returns how likely so many placements of a service aren't known yet.
-func (b *Scheduler) unknown(service string, now time.Duration) []float64 {
-	return likely(b.rates[service].perSecond(now))
+// unseenPlacements returns the probabilities of the numbers of placements of a
+// service that this host hasn't learned of.
+func (sc *Scheduler) unseenPlacements(service string, now time.Duration) []float64 {
+	return unseenProbabilities(sc.remoteRates[service].perSecond(now))
 }
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -7,68 +7,70 @@
 	"slipcrank.example/core/site"
 )
 
-// readSlack is how much later than twice the predicted time a prompt counts as
-// read although its first token was not heard of.
-const readSlack = 500 * time.Millisecond
+// prefillSlack is how far beyond twice its predicted time a prefill counts as under
+// way. After that a prompt counts as prefilled although no first token was reported,
+// since the report may have been lost.
+const prefillSlack = 500 * time.Millisecond
 
 type (
-	// state is what is predicted of one engine.
+	// state is the predicted state of one engine.
 	state struct {
-		server   *backend.Server
-		stride   int
-		slow     float64 // by how much it is slower than the model
-		order    float64 // place among the service's engines, 0 to 1
-		running  int
-		helping  int
-		context  int // of all that write or will
-		answers  int // tokens that the running ones are to write
-		pass     time.Duration
-		reading  time.Duration
-		streams  []stream
-		waiters  []waiter
-		tightest time.Duration // shortest pause that a stream here minds
-		unknown  []float64     // how likely so many more run that aren't known
+		server       *backend.Server
+		stride       int
+		slowdown     float64 // ratio of its pass times to the model
+		position     float64 // in the service's order of engines, from 0 to 1
+		running      int     // requests that it leads
+		helping      int     // prompts of other leads that it prefills
+		context      int     // tokens of context of all requests, with their whole answers
+		answerTokens int     // expected tokens of the answers of running requests
+		passTime     time.Duration
+		backlog      time.Duration // time for the prompts that are yet to be prefilled
+		streams      []stream
+		waiters      []waiter
+		tightestGap  time.Duration // shortest permitted pause of the streams
+		unseen       []float64     // probabilities of 0, 1, 2 .. further placements that aren't known yet
 	}
 
-	// waiter is a request whose prompt, or a part of it, is yet to be read
-	// here.
+	// waiter is a request of whose prompt the engine has yet to prefill all or a
+	// part.
 	waiter struct {
 		waited, objective time.Duration
 		value             float64
-		now               float64 // what its delay costs as it stands
+		delayCost         float64 // without further requests on the engine
 	}
 
-	// stream is one that a pause may make late.
+	// stream is a running stream that a pause longer than its gap makes late.
 	stream struct {
 		gap   time.Duration
 		value float64
 	}
 )
 
-// fill predicts an engine from its placements. It reuses what st has allocated.
-func (b *Scheduler) fill(st *state, now time.Duration, e *site.Engine, s *backend.Server) {
+// predictState sets st to the state of an engine predicted from its placements. It
+// reuses the memory of st's slices.
+func (sc *Scheduler) predictState(st *state, now time.Duration, e *site.Engine, s *backend.Server) {
 	*st = state{server: s, stride: max(e.Stride, 1), waiters: st.waiters[:0], streams: st.streams[:0]}
-	if l := b.byServer[s.ID]; l != nil {
+	if l := sc.byServer[s.ID]; l != nil {
 		for _, p := range l.placements {
 			st.add(now, e, p)
 		}
 	}
-	st.slow = b.slowness(s.ID, now)
-	st.pass = time.Duration(st.slow * float64(passTime(e, st.running, st.context)))
-	st.reading = time.Duration(st.slow * float64(st.reading))
+	st.slowdown = sc.slowdown(s.ID, now)
+	st.passTime = time.Duration(st.slowdown * float64(passTime(e, st.running, st.context)))
+	st.backlog = time.Duration(st.slowdown * float64(st.backlog))
 	for i := range st.waiters {
 		w := &st.waiters[i]
-		w.now = delay(w.waited+st.pause(0), w.objective, w.value)
+		w.delayCost = costOfDelay(w.waited+st.pause(0), w.objective, w.value)
 	}
 }
 
-// add counts a placement.
+// add adds a placement to the state.
 func (s *state) add(now time.Duration, e *site.Engine, p *Placement) {
-	if !p.writing && now-p.PlacedAt < 2*p.FirstToken+readSlack {
-		s.reading += readTime(e, p.Work.Prompt, len(p.Helpers)+1)
+	if !p.decoding && now-p.PlacedAt < 2*p.FirstToken+prefillSlack {
+		s.backlog += prefillTime(e, p.Work.Prompt, len(p.Helpers)+1)
 		if p.Objective > 0 {
-			// Its first token waits for the last of its parts, so each part
-			// stands for its share of the harm.
+			// The first token waits for the last part of the prompt, so each
+			// engine that prefills a part carries an equal share of the value.
 			value := Value(e, p.Work) / float64(len(p.Helpers)+1)
 			s.waiters = append(s.waiters, waiter{waited: now - p.PlacedAt, objective: p.Objective, value: value})
 		}
@@ -81,43 +83,43 @@
 		}
 	}
 	if p.Lead != s.server.ID {
-		if !p.writing {
+		if !p.decoding {
 			s.helping++
 		}
 		return
 	}
 	s.running++
-	s.answers += p.Work.Answer
+	s.answerTokens += p.Work.Answer
 	s.context += p.Work.Prompt + p.Work.Answer - shared
 	if p.Gap <= 0 {
 		return
 	}
 	s.streams = append(s.streams, stream{p.Gap, Value(e, p.Work)})
-	if s.tightest == 0 || p.Gap < s.tightest {
-		s.tightest = p.Gap
+	if s.tightestGap == 0 || p.Gap < s.tightestGap {
+		s.tightestGap = p.Gap
 	}
 }
 
-// pause is how long streams on the engine stand still if so much more is
-// read.
-func (s *state) pause(part time.Duration) time.Duration {
-	return s.pass + s.reading + time.Duration(s.slow*float64(part))
+// pause returns how long streams on the engine pause if it prefills its backlog and
+// so much more.
+func (s *state) pause(prefill time.Duration) time.Duration {
+	return s.passTime + s.backlog + time.Duration(s.slowdown*float64(prefill))
 }
 
-// firstRead is how long it takes until a part is read: what is left of the
-// pass under way, and the next one.
-func (s *state) firstRead(part time.Duration) time.Duration { return s.pass/2 + s.pause(part) }
+// timeToPrefill returns the time until the engine has prefilled a further part: on
+// average half of the pass under way, and the pause for the part.
+func (s *state) timeToPrefill(part time.Duration) time.Duration { return s.passTime/2 + s.pause(part) }
 
-// loss is the value that others on the engine lose by such a pause: streams
-// that stand still too long, and first tokens that come later.
-func (s *state) loss(pause time.Duration) float64 {
+// lostValue returns the value that other requests on the engine lose by a pause:
+// streams that pause too long, and first tokens that arrive later.
+func (s *state) lostValue(pause time.Duration) float64 {
 	var sum float64
 	for _, w := range s.waiters {
-		sum += delay(w.waited+pause, w.objective, w.value) - w.now
+		sum += costOfDelay(w.waited+pause, w.objective, w.value) - w.delayCost
 	}
 	for _, t := range s.streams {
 		gaps := float64(pause) / float64(t.gap)
-		sum += t.value * (lateShare*risk(gaps) + leftValue*risk(gaps/leftGaps))
+		sum += t.value * (lateLoss*missRisk(gaps) + abandonLoss*missRisk(gaps/abandonGaps))
 	}
 	return sum
 }
--- a/core/schedule/weights.go
+++ b/core/schedule/weights.go
@@ -6,110 +6,114 @@
 	"slipcrank.example/core/site"
 )
 
-// Weights of the choice, each a part of the value of the request or stream
-// that it falls on. They were found by measurement: docs/design has the
-// rounds.
+// Weights of the choice, each a fraction of the value of the request or stream
+// that bears the cost. docs/design describes the experiments behind them.
 const (
-	// lateShare is what a late answer, or a stream with too long a pause,
-	// loses.
-	lateShare = 0.75
-	// nearBound is the part of a bound from which on a prediction counts
-	// towards its loss, growing to the whole at the bound: predictions err.
-	nearBound = 0.85
-	// delayCost is for a first token at the objective beside one at once: it
-	// decides between engines, and may not harm others for a long prompt's
-	// sake, whose answer is worth the same anywhere within its objective.
+	// lateLoss is what a late answer, or a stream with too long a pause, loses.
+	lateLoss = 0.75
+	// riskStart is the fraction of a bound from which on a prediction counts
+	// towards the loss, which grows to the whole at the bound: predictions err.
+	riskStart = 0.85
+	// delayCost is the cost of a first token at the objective, compared with one
+	// at once. It decides between engines but is too small to harm others for the
+	// sake of a long prompt, whose answer is worth the same at any time within its
+	// objective.
 	delayCost = 0.1
-	// laterCost is for each further objective that passes: a late answer is
-	// worth the same whenever it comes, while its caller waits.
-	laterCost = 0.05
-	// openCost is for the first stream on an engine without any as sensitive
-	// to pauses. It keeps such streams together, so that long prompts find
-	// engines where nobody minds.
-	openCost = 0.2
-	// orderCost puts the engines of a service in one order that all hosts
-	// share, over the whole service.
-	orderCost = 0.05
-	// helperCost is for each helper: one that goes costs the whole request.
+	// overdueCost is the cost of each further objective that passes. A late answer
+	// is worth the same at any time, but its caller is kept waiting.
+	overdueCost = 0.05
+	// firstSensitiveCost is the cost of the first stream on an engine that has none
+	// as sensitive to pauses. It concentrates such streams on few engines, so that
+	// long prompts find engines on which a pause harms no stream.
+	firstSensitiveCost = 0.2
+	// maxPositionCost is the cost of the last position in the order of a service's
+	// engines. All hosts use the same order.
+	maxPositionCost = 0.05
+	// helperCost is the cost of each helper, since the whole request fails if one
+	// of them does.
 	helperCost = 0.004
-	// fullCost is for memory, or helpers, that are not there.
-	fullCost = 2
-	// leftValue is what streams lose beyond a late answer by a pause so long
+	// unavailableCost is the cost of memory, or helpers, that are not available.
+	unavailableCost = 2
+	// abandonLoss is what streams lose in addition to lateLoss by a pause so long
 	// that their callers leave.
-	leftValue = 1 - lateShare
-	// leftGaps is that pause, in pauses that they mind. The users say eight.
-	leftGaps = 8
-	// nearCost is up to how much more than the least the engine may cost that
-	// leads, and nearMost among how many one is drawn.
-	nearCost = 0.05
-	nearMost = 3
-	// spreadCost is for memory that has to be set aside on other engines.
-	spreadCost = 0.1
+	abandonLoss = 1 - lateLoss
+	// abandonGaps is the length of that pause, in longest permitted pauses. The
+	// users state eight.
+	abandonGaps = 8
+	// leadMargin is how much more than the cheapest engine another may cost to be
+	// drawn as lead, and maxLeadDraw the number of engines drawn from.
+	leadMargin  = 0.05
+	maxLeadDraw = 3
+	// remoteMemoryCost is the cost of memory to be reserved on other engines.
+	remoteMemoryCost = 0.1
 )
 
-// ownCost is what it costs a request itself that the engine leads it, beside
-// when its first token comes.
-func (s *state) ownCost(e *site.Engine, r Request, value float64) float64 {
-	cost := s.place(e, r) * value
-	if lacking := s.context + r.Work.Prompt + r.Work.Answer - room(e); lacking > 0 {
-		cost += spreadCost * value * (1 + float64(lacking)/float64(e.Memory))
+// leadCost returns the cost to a request of being led by the engine, apart from
+// the cost of the time to its first token.
+func (s *state) leadCost(e *site.Engine, r Request, value float64) float64 {
+	cost := s.positionCost(e, r) * value
+	if missing := s.context + r.Work.Prompt + r.Work.Answer - usableMemory(e); missing > 0 {
+		cost += remoteMemoryCost * value * (1 + float64(missing)/float64(e.Memory))
 	}
-	if sensitive(e, r.Gap) && (s.tightest == 0 || s.tightest > r.Gap) {
-		cost += openCost * value
+	if pauseSensitive(e, r.Gap) && (s.tightestGap == 0 || s.tightestGap > r.Gap) {
+		cost += firstSensitiveCost * value
 	}
 	return cost
 }
 
-// firstCost is what a first token costs for which the engine needs so long
-// once a slot is free.
-func (s *state) firstCost(read, objective time.Duration, value float64) float64 {
-	cost := delay(s.wait()+read, objective, value)
+// firstTokenCost returns the cost of the time to the first token on the engine,
+// which is the wait for a slot and then the given prefill time.
+func (s *state) firstTokenCost(prefill, objective time.Duration, value float64) float64 {
+	cost := costOfDelay(s.slotWait()+prefill, objective, value)
 	if objective <= 0 {
 		return cost
 	}
-	// Beyond what the mean wait makes likely, in time or late.
-	late := risk(float64(s.wait()+read) / float64(objective))
-	unlucky := max(risk(float64(read)/float64(objective)), s.slotRisk(objective-read))
-	return cost + lateShare*value*(unlucky-late)
+	// The cost so far has the risk by the mean wait for a slot: replace that by the
+	// risk by the distribution of the wait.
+	late := missRisk(float64(s.slotWait()+prefill) / float64(objective))
+	unlucky := max(missRisk(float64(prefill)/float64(objective)), s.slotWaitRisk(objective-prefill))
+	return cost + lateLoss*value*(unlucky-late)
 }
 
-// helpCost ranks an engine as a helper.
-func (s *state) helpCost(e *site.Engine, part time.Duration, r Request, value float64) float64 {
-	return s.loss(s.pause(part)) + delay(s.firstRead(part), r.Objective, value) + s.place(e, r)*value
+// costAsHelper returns the cost by which engines are ranked as helpers.
+func (s *state) costAsHelper(e *site.Engine, prefill time.Duration, r Request, value float64) float64 {
+	return s.lostValue(s.pause(prefill)) + costOfDelay(s.timeToPrefill(prefill), r.Objective, value) + s.positionCost(e, r)*value
 }
 
-// place is the cost of the engine's place in the order. Streams that mind
-// pauses take it from one end, others from the other.
-func (s *state) place(e *site.Engine, r Request) float64 {
-	if sensitive(e, r.Gap) {
-		return s.order * orderCost
+// positionCost returns the cost of the engine's position in the service's order.
+// Streams that are sensitive to pauses fill the order from one end, others from the
+// other.
+func (s *state) positionCost(e *site.Engine, r Request) float64 {
+	if pauseSensitive(e, r.Gap) {
+		return s.position * maxPositionCost
 	}
-	return (1 - s.order) * orderCost
+	return (1 - s.position) * maxPositionCost
 }
 
-// sensitive reports whether a stream minds a pause as long as an engine takes
-// to read as much as it can in one pass.
-func sensitive(e *site.Engine, gap time.Duration) bool {
-	most := float64(max(e.Stride, 1)*e.Chunk) / e.ReadRate * float64(time.Second)
-	return gap > 0 && gap < time.Duration(most)
+// pauseSensitive reports whether a stream's gap is shorter than the time in which an
+// engine prefills as much as it can in one pass.
+func pauseSensitive(e *site.Engine, gap time.Duration) bool {
+	maxPrefill := float64(max(e.Stride, 1)*e.Chunk) / e.ReadRate * float64(time.Second)
+	return gap > 0 && gap < time.Duration(maxPrefill)
 }
 
-// delay is what a first token after so long costs.
-func delay(first, objective time.Duration, value float64) float64 {
+// costOfDelay returns the cost of a first token after the given time.
+func costOfDelay(firstToken, objective time.Duration, value float64) float64 {
 	if objective <= 0 {
-		return value * (lateShare + delayCost*first.Seconds())
+		return value * (lateLoss + delayCost*firstToken.Seconds())
 	}
-	f := float64(first) / float64(objective)
-	return value * (delayCost*min(f, 1) + lateShare*risk(f) + laterCost*max(f-1, 0))
+	f := float64(firstToken) / float64(objective)
+	return value * (delayCost*min(f, 1) + lateLoss*missRisk(f) + overdueCost*max(f-1, 0))
 }
 
-// risk is how likely a bound is missed at a prediction of so much of it.
-func risk(part float64) float64 {
+// missRisk returns the probability that a bound is missed, given the prediction as
+// a fraction of the bound.
+func missRisk(fraction float64) float64 {
 	switch {
-	case part <= nearBound:
+	case fraction <= riskStart:
 		return 0
-	case part >= 1:
+	case fraction >= 1:
 		return 1
 	}
-	return (part - nearBound) / (1 - nearBound)
+	return (fraction - riskStart) / (1 - riskStart)
 }
