--- a/cmd/command/experiment.go
+++ b/cmd/command/experiment.go
@@ -35,11 +35,11 @@
 
 // policies are the rules of admission that can be played, by name.
 var policies = map[string]emulate.Rule{
-	"default":      emulate.Judge(admission.Default()),
-	"no-late":      emulate.Judge(admission.Default().WithLate(false)),
-	"no-shares":    emulate.Judge(admission.Default().WithShares(false)),
-	"no-displaced": emulate.Judge(admission.Default().WithDisplaced(false)),
-	"let-back":     emulate.LetBack(admission.Default().WithLate(false), letBackTimes),
+	"default":      emulate.FromPolicy(admission.Default()),
+	"no-late":      emulate.FromPolicy(admission.Default().WithLate(false)),
+	"no-shares":    emulate.FromPolicy(admission.Default().WithShares(false)),
+	"no-displaced": emulate.FromPolicy(admission.Default().WithDisplaced(false)),
+	"let-back":     emulate.FavorRetries(admission.Default().WithLate(false), letBackTimes),
 }
 
 // crowdRate is how many long prompts a second the crowding workspace sends: as
@@ -50,7 +50,7 @@
 var scenarios = map[string]emulate.Scenario{
 	"":      emulate.Surge(),
 	"surge": emulate.Surge(),
-	"crowd": emulate.Crowd(emulate.Rates{Long: crowdRate}),
+	"crowd": emulate.NoisyNeighbor(emulate.Rates{Long: crowdRate}),
 }
 
 // comparison is how one kind of request fared by one policy.
@@ -114,12 +114,12 @@
 	parts := map[string][]float64{} // by policy and load
 	var out []comparison
 	for _, name := range names {
-		total := emulate.Day{}
+		total := emulate.Results{}
 		for seed := range seeds {
-			day := emulate.Play(s, policies[name], seed)
+			day := emulate.Run(s, policies[name], seed)
 			for _, l := range s.Loads {
-				total[l.Name] = total[l.Name].With(day[l.Name])
-				parts[name+l.Name] = append(parts[name+l.Name], day[l.Name].Part())
+				total[l.Name] = total[l.Name].Add(day[l.Name])
+				parts[name+l.Name] = append(parts[name+l.Name], day[l.Name].InTimeFraction())
 			}
 		}
 		for _, l := range s.Loads {
--- a/core/emulate/crowd.go
+++ b/core/emulate/crowd.go
@@ -10,10 +10,10 @@
 // second.
 type Rates struct{ Long, Middle, Short float64 }
 
-// Crowd is nine workspaces that ask for a sixth of the reading time of 30 engines
+// NoisyNeighbor is nine workspaces that ask for a sixth of the reading time of 30 engines
 // and a quarter of their slots, and from the third second on a tenth workspace,
 // the crowd.
-func Crowd(r Rates) Scenario {
+func NoisyNeighbor(r Rates) Scenario {
 	const begin, end = 3 * time.Second, 13 * time.Second
 	others := Rates{Long: 0.8, Middle: 2, Short: 40}
 	return Scenario{
--- a/core/emulate/crowd_test.go
+++ b/core/emulate/crowd_test.go
@@ -37,11 +37,11 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			with := sum(emulate.Crowd(tc.crowd), admission.Default())
+			with := sum(emulate.NoisyNeighbor(tc.crowd), admission.Default())
 			t.Logf("with shares %v", with)
 			for _, bounds := range []map[string]float64{tc.least, tc.gets} {
 				for load, least := range bounds {
-					if part := with[load].Part(); part < least {
+					if part := with[load].InTimeFraction(); part < least {
 						t.Errorf("%.3f of %s are in time, want %.2f", part, load, least)
 					}
 				}
@@ -49,10 +49,10 @@
 			if tc.below == nil {
 				return
 			}
-			without := sum(emulate.Crowd(tc.crowd), admission.Default().WithShares(false))
+			without := sum(emulate.NoisyNeighbor(tc.crowd), admission.Default().WithShares(false))
 			t.Logf("without %v", without)
 			for load, most := range tc.below {
-				if part := without[load].Part(); part > most {
+				if part := without[load].InTimeFraction(); part > most {
 					t.Errorf("without shares %.3f of %s are in time: the load does not crowd", part, load)
 				}
 			}
@@ -61,12 +61,12 @@
 }
 
 // sum plays a few days of a scenario and adds up what callers got.
-func sum(s emulate.Scenario, p admission.Policy) emulate.Day {
+func sum(s emulate.Scenario, p admission.Policy) emulate.Results {
 	const days = 2
-	out := emulate.Day{}
+	out := emulate.Results{}
 	for seed := range uint64(days) {
-		for name, c := range emulate.Play(s, emulate.Judge(p), seed) {
-			out[name] = out[name].With(c)
+		for name, c := range emulate.Run(s, emulate.FromPolicy(p), seed) {
+			out[name] = out[name].Add(c)
 		}
 	}
 	return out
--- a/core/emulate/emulate.go
+++ b/core/emulate/emulate.go
@@ -72,8 +72,8 @@
 		Asked, InTime, Late, Refused int
 	}
 
-	// Day is what became of all requests, by the names of their loads.
-	Day map[string]Count
+	// Results is what became of all requests, by the names of their loads.
+	Results map[string]Count
 )
 
 // Surge is long prompts that ask for four fifths of 18 engines, and then many
@@ -95,14 +95,14 @@
 	}
 }
 
-// Judge is the rule by which callers that come back are judged like others.
-func Judge(p admission.Policy) Rule {
+// FromPolicy is the rule by which callers that come back are judged like others.
+func FromPolicy(p admission.Policy) Rule {
 	return func(r admission.Request, _ bool) (admission.Refusal, bool) { return p.Judge(r) }
 }
 
-// LetBack is the rule by which callers that come back are let in, unless they
+// FavorRetries is the rule by which callers that come back are let in, unless they
 // displace so many times their worth.
-func LetBack(p admission.Policy, times float64) Rule {
+func FavorRetries(p admission.Policy, times float64) Rule {
 	return func(r admission.Request, back bool) (admission.Refusal, bool) {
 		if back {
 			r.Displaces /= times
@@ -111,9 +111,9 @@
 	}
 }
 
-// Play serves a scenario's requests by a rule. Callers that are refused come
+// Run serves a scenario's requests by a rule. Callers that are refused come
 // back once, when they are told.
-func Play(s Scenario, judge Rule, seed uint64) Day {
+func Run(s Scenario, judge Rule, seed uint64) Results {
 	draws := rand.New(rand.NewPCG(seed, 2))
 	f := newFleet(s.Engine, schedule.New(1, schedule.WithRandom(draws.Float64)))
 	servers := f.servers(s.Engines)
@@ -175,8 +175,8 @@
 }
 
 // count sums up what became of requests.
-func count(rs []*request) Day {
-	d := Day{}
+func count(rs []*request) Results {
+	d := Results{}
 	for _, r := range rs {
 		c := d[r.load.Name]
 		c.Asked++
@@ -193,13 +193,13 @@
 	return d
 }
 
-// With returns the sum of two counts.
-func (c Count) With(o Count) Count {
+// Add returns the sum of two counts.
+func (c Count) Add(o Count) Count {
 	return Count{c.Asked + o.Asked, c.InTime + o.InTime, c.Late + o.Late, c.Refused + o.Refused}
 }
 
-// Part is the part of the requests that were served in time.
-func (c Count) Part() float64 {
+// InTimeFraction is the part of the requests that were served in time.
+func (c Count) InTimeFraction() float64 {
 	if c.Asked == 0 {
 		return 0
 	}
--- a/core/emulate/wide_test.go
+++ b/core/emulate/wide_test.go
@@ -14,7 +14,7 @@
 	const end = 12 * time.Second
 	return emulate.Scenario{
 		Engines: 75,
-		Engine:  emulate.Crowd(emulate.Rates{}).Engine,
+		Engine:  emulate.NoisyNeighbor(emulate.Rates{}).Engine,
 		Wait:    15 * time.Second,
 		Loads: []emulate.Load{
 			{Name: "long", Until: end, Rate: 11, Prompt: 170_000, Answer: 700, Objective: 3 * time.Second, Gap: time.Second},
@@ -28,7 +28,7 @@
 // engines, in which those that need the memory of several engines are served
 // nearly as often as the others.
 func TestLongestPromptsAreNotTurnedAway(t *testing.T) {
-	served := average(wide(), emulate.Judge(admission.Default()))
+	served := average(wide(), emulate.FromPolicy(admission.Default()))
 	for name, least := range map[string]float64{"long": 0.9, "longest": 0.68, "short": 0.99} {
 		if served[name] < least {
 			t.Errorf("%.3f of the %s requests are in time, want %.2f", served[name], name, least)
