--- a/core/schedule/isolation_test.go
+++ b/core/schedule/isolation_test.go
@@ -45,25 +45,25 @@
 	}
 }
 
-// TestSuspectsAreIsolated places isolated requests on a few servers, and then copies
-// of one at several hosts that don't know of each other's placements yet: these have
-// to choose the same server.
-func TestSuspectsAreIsolated(t *testing.T) {
+// TestIsolatedRequestsGetServersOfTheirOwn places isolated requests on a few servers,
+// and then copies of one at several hosts that don't know of each other's placements
+// yet: these have to choose the same server.
+func TestIsolatedRequestsGetServersOfTheirOwn(t *testing.T) {
 	servers := plainServers(6)
 	used := map[string]bool{}
 	sc := New(1)
 	for n := range servers {
 		p, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: uint64(n) + 1, Isolated: true, OnlyCopy: true})
 		if !ok || used[p.Lead] {
-			t.Errorf("suspect %d: placed %v on %q, want a server of its own", n, ok, p.Lead)
+			t.Errorf("isolated request %d: placed %v on %q, want a server of its own", n, ok, p.Lead)
 		}
 		used[p.Lead] = true
 	}
 	if p, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: 99, Isolated: true, OnlyCopy: true}); ok {
-		t.Errorf("a suspect that must be the only copy is placed on %s beside another suspect", p.Lead)
+		t.Errorf("an isolated request that must be the only copy is placed on %s beside another one", p.Lead)
 	}
 	if _, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: 99, Isolated: true}); !ok {
-		t.Error("a suspect that need not be the only copy is not placed")
+		t.Error("an isolated request that need not be the only copy is not placed")
 	}
 	leads := map[string]bool{}
 	for host := range uint32(5) {
@@ -71,13 +71,13 @@
 		leads[p.Lead] = true
 	}
 	if len(leads) != 1 {
-		t.Errorf("copies of a suspect at five hosts go to %v, want one server", leads)
+		t.Errorf("copies of an isolated request at five hosts go to %v, want one server", leads)
 	}
 }
 
-// TestSuspectsOfOneWorkspaceUseFewServers places isolated requests of one workspace,
+// TestIsolatedRequestsOfOneWorkspaceUseFewServers places isolated requests of one workspace,
 // and then one of another workspace, which has to get a server without any.
-func TestSuspectsOfOneWorkspaceUseFewServers(t *testing.T) {
+func TestIsolatedRequestsOfOneWorkspaceUseFewServers(t *testing.T) {
 	for name, tc := range map[string]struct{ servers, want int }{
 		"three servers": {3, 1}, "eight servers": {8, 2}, "eighteen servers": {18, 4},
 	} {
@@ -86,15 +86,15 @@
 			for n := range 2 * tc.servers {
 				p, ok := sc.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{Fingerprint: uint64(n) + 1, Workspace: 5, Isolated: true})
 				if !ok {
-					t.Fatal("the suspect is not placed")
+					t.Fatal("the isolated request is not placed")
 				}
 				used[p.Lead] = true
 			}
 			if len(used) != tc.want {
-				t.Errorf("%d suspects of a workspace run on %d servers, want %d", 2*tc.servers, len(used), tc.want)
+				t.Errorf("%d isolated requests of a workspace run on %d servers, want %d", 2*tc.servers, len(used), tc.want)
 			}
 			if p, ok := sc.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{Fingerprint: 99, Workspace: 6, Isolated: true, OnlyCopy: true}); !ok || used[p.Lead] {
-				t.Errorf("a suspect of another workspace: placed %v on %s, want a server without suspects", ok, p.Lead)
+				t.Errorf("an isolated request of another workspace: placed %v on %s, want a server without any", ok, p.Lead)
 			}
 		})
 	}
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -31,7 +31,8 @@
 
 const (
 	// maxRecordAge is the age at which placements are dropped whose end was never
-	// reported. It exceeds the longest deadline that callers use.
+	// reported, and times of first tokens. It exceeds the longest deadline that
+	// callers use.
 	maxRecordAge = 30 * time.Second
 	// hostTimeout is how long another host may send no message before it counts
 	// as gone: three intervals of the messages that an idle host sends.
@@ -97,8 +98,7 @@
 		Workspace    uint32
 		Share        WorkspaceShare
 		SlotScarcity float64
-		// Fingerprint is equal for copies of one request, and Isolated says that
-		// no other isolated request runs on the lead.
+		// Fingerprint and Isolated are those of the [Request].
 		Fingerprint uint64
 		Isolated    bool
 		Work        Work
@@ -266,9 +266,9 @@
 	return ok && now-last <= hostTimeout
 }
 
-// Expire drops outdated state: placements that have exceeded the maximum age,
-// and those of hosts that have timed out, since backend servers end the requests
-// of a host that is gone.
+// Expire drops outdated state: placements whose end was missed, at the maximum
+// age, and those of hosts that have timed out, since backend servers end the
+// requests of a host that is gone.
 func (sc *Scheduler) Expire(now time.Duration) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
