--- a/daemon/gateway/admit.go
+++ b/daemon/gateway/admit.go
@@ -19,14 +19,14 @@
 		Stream:          c.route.Kind == site.Stream,
 		TimeLeft:        time.Until(c.deadline),
 		Objective:       c.route.Objective,
-		FirstToken:      p.First,
-		IdleFirstToken:  p.Idle,
-		DisplacedRatio:  p.Displaces,
-		EngineMemory:    p.Engines,
-		SpareFraction:   p.Spare,
-		DisplacedWeight: p.Part.Price,
-		OverShare:       p.Part.Over,
-		SlotScarcity:    p.Full,
+		FirstToken:      p.FirstToken,
+		IdleFirstToken:  p.IdleFirstToken,
+		DisplacedRatio:  p.DisplacementRatio,
+		EngineMemory:    p.EnginesFilled,
+		SpareFraction:   p.SpareFraction,
+		DisplacedWeight: p.Share.Weight,
+		OverShare:       p.Share.OverShare,
+		SlotScarcity:    p.SlotScarcity,
 	})
 	if !refused {
 		return nil
