--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -103,8 +103,8 @@
 	// by itself, and a daemon writes through its hall's batcher.
 	Writer func(ctx context.Context, w store.Write) (Result, uint64)
 
-	// Register decides claims.
-	Register struct {
+	// Registry decides claims.
+	Registry struct {
 		store store.Store
 		write Writer
 		token func() string
@@ -112,11 +112,11 @@
 	}
 
 	// Option changes a register under construction.
-	Option func(*Register)
+	Option func(*Registry)
 
 	// Claim is the decision on one key, as this caller sees it.
 	Claim struct {
-		register *Register
+		register *Registry
 		key      string
 		row      row
 		version  uint64
@@ -131,17 +131,17 @@
 )
 
 // WithWriter sets how rows are written.
-func WithWriter(w Writer) Option { return func(r *Register) { r.write = w } }
+func WithWriter(w Writer) Option { return func(r *Registry) { r.write = w } }
 
 // WithToken sets the source of attempt tokens.
-func WithToken(f func() string) Option { return func(r *Register) { r.token = f } }
+func WithToken(f func() string) Option { return func(r *Registry) { r.token = f } }
 
 // WithNow sets the clock that keys are compared with.
-func WithNow(f func() time.Time) Option { return func(r *Register) { r.now = f } }
+func WithNow(f func() time.Time) Option { return func(r *Registry) { r.now = f } }
 
 // New returns a register over s.
-func New(s store.Store, os ...Option) *Register {
-	r := &Register{store: s, write: Direct(s), token: uuid.NewString, now: time.Now}
+func New(s store.Store, os ...Option) *Registry {
+	r := &Registry{store: s, write: Direct(s), token: uuid.NewString, now: time.Now}
 	for _, o := range os {
 		o(r)
 	}
@@ -184,7 +184,7 @@
 // belongs to a workspace. A fault of kind undecided means that nothing was
 // sent by this attempt and nothing else is known; the claim that comes with it
 // can only be withdrawn.
-func (r *Register) Begin(ctx context.Context, workspace, key string) (Claim, error) {
+func (r *Registry) Begin(ctx context.Context, workspace, key string) (Claim, error) {
 	if err := CheckKey(key, r.now()); err != nil {
 		return Claim{}, err
 	}
@@ -220,7 +220,7 @@
 
 // readBack returns the claim as the table has it, and false if it has none or
 // can't be read.
-func (r *Register) readBack(ctx context.Context, c Claim) (Claim, bool) {
+func (r *Registry) readBack(ctx context.Context, c Claim) (Claim, bool) {
 	got, version, err := r.fetch(ctx, c.key)
 	if err != nil || version == store.Absent {
 		return Claim{}, false
@@ -232,7 +232,7 @@
 
 // fetch reads the row of a key. The version is that of no row, if there is
 // none.
-func (r *Register) fetch(ctx context.Context, key string) (row, uint64, error) {
+func (r *Registry) fetch(ctx context.Context, key string) (row, uint64, error) {
 	rows, err := r.store.Read(ctx, []store.Ref{{Table: Table, Key: key}})
 	if err != nil {
 		return row{}, store.Absent, errors.Wrap(err, "read claim")
@@ -245,17 +245,17 @@
 	return got, rows[0].Version, errors.Wrap(err, "decode claim")
 }
 
-// Look returns the claim on a key as it is recorded, and false if there is no
+// Lookup returns the claim on a key as it is recorded, and false if there is no
 // row or it can't be read.
-func (r *Register) Look(ctx context.Context, workspace, key string) (Claim, bool) {
+func (r *Registry) Lookup(ctx context.Context, workspace, key string) (Claim, bool) {
 	return r.readBack(ctx, Claim{register: r, key: workspace + "/" + key})
 }
 
 // State returns what the row says.
 func (c Claim) State() State { return c.row.State }
 
-// Mine reports whether this caller, and nobody else, may send the call.
-func (c Claim) Mine() bool { return c.mine && c.row.State == Sent }
+// Owned reports whether this caller, and nobody else, may send the call.
+func (c Claim) Owned() bool { return c.mine && c.row.State == Sent }
 
 // Answer returns the stored answer of a call that is done.
 func (c Claim) Answer() Answer {
@@ -277,13 +277,13 @@
 	return c.change(ctx, row{State: Void, Token: c.row.Token})
 }
 
-// Lose records that the call was sent and that no answer came, so that others
+// MarkLost records that the call was sent and that no answer came, so that others
 // who ask for the key need not wait for one.
-func (c Claim) Lose(ctx context.Context) error {
+func (c Claim) MarkLost(ctx context.Context) error {
 	return c.change(ctx, row{State: Lost, Token: c.row.Token})
 }
 
-// Withdraw takes back a claim that [Register.Begin] left undecided, whether its
+// Withdraw takes back a claim that [Registry.Begin] left undecided, whether its
 // row was written, was not, or is still on its way. The caller must not have
 // sent the call. After a nil error the claim can't take effect any more.
 func (c Claim) Withdraw(ctx context.Context) error {
@@ -313,7 +313,7 @@
 
 // change turns the claim's own sent row into another state.
 func (c Claim) change(ctx context.Context, to row) error {
-	if !c.Mine() {
+	if !c.Owned() {
 		return undecided()
 	}
 	b, err := json.Marshal(to)
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -120,7 +120,7 @@
 			_ = c.Withdraw(ctx)
 		case err != nil:
 			return fmt.Sprintf("unexpected %v", err)
-		case c.Mine():
+		case c.Owned():
 			if bad := act(ctx, c, key, what, model, said); bad != "" {
 				return bad
 			}
@@ -150,7 +150,7 @@
 		model.run(key)
 	case loseAnswer:
 		model.run(key)
-		_ = c.Lose(ctx)
+		_ = c.MarkLost(ctx)
 	case pauseAndVoid:
 		if c.Void(ctx) == nil {
 			said[key] = "not run"
@@ -182,7 +182,7 @@
 	if !fault.Is(err, fault.Undecided) {
 		t.Fatalf("got %v, want undecided", err)
 	}
-	if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || other.Mine() {
+	if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || other.Owned() {
 		t.Fatalf("another has the claim before it was withdrawn: %v", err)
 	}
 	if err := c.Withdraw(ctx); err == nil {
@@ -192,7 +192,7 @@
 	if err := c.Withdraw(ctx); err != nil {
 		t.Fatalf("withdraw: %v", err)
 	}
-	if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || !other.Mine() {
+	if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || !other.Owned() {
 		t.Errorf("the key can't be used after the withdrawal: %v", err)
 	}
 }
@@ -252,7 +252,7 @@
 			for _, ws := range late {
 				_, _ = good.Commit(ctx, ws)
 			}
-			if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || !other.Mine() {
+			if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || !other.Owned() {
 				t.Errorf("after late writes the key is %q, %v", other.State(), err)
 			}
 		})
--- a/daemon/calls/once.go
+++ b/daemon/calls/once.go
@@ -29,7 +29,7 @@
 type (
 	// Once runs calls at most once, by their keys.
 	Once struct {
-		register   *claim.Register
+		register   *claim.Registry
 		metrics    *telemetry.Metrics
 		background func(func())
 	}
@@ -45,7 +45,7 @@
 
 // NewOnce returns a runner of calls over a register of claims. Background runs
 // what no caller waits for.
-func NewOnce(r *claim.Register, m *telemetry.Metrics, background func(func())) *Once {
+func NewOnce(r *claim.Registry, m *telemetry.Metrics, background func(func())) *Once {
 	return &Once{register: r, metrics: m, background: background}
 }
 
@@ -62,7 +62,7 @@
 		}
 		return claim.Answer{}, err
 	}
-	if !c.Mine() {
+	if !c.Owned() {
 		return o.follow(ctx, workspace, key, c, send)
 	}
 	if err := deadline.Passed(ctx); err != nil { // a daemon that was paused must not send late
@@ -127,7 +127,7 @@
 			return claim.Answer{}, unknown(err)
 		}
 		wait = min(2*wait, lastLook)
-		if again, ok := o.register.Look(ctx, workspace, key); ok {
+		if again, ok := o.register.Lookup(ctx, workspace, key); ok {
 			c = again
 		}
 	}
@@ -142,7 +142,7 @@
 
 // lose tells the others who ask for the key that no answer will come.
 func lose(c claim.Claim) {
-	persist(c.Lose)
+	persist(c.MarkLost)
 }
 
 // persist tries f until it succeeds or the time for it is over.
