--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -6,10 +6,10 @@
 // stops using it a margin before the end. Another daemon takes over only after it
 // has itself watched the row stand unchanged for the whole length and the margin.
 //
-// A holder that is paused past the end and wakes up finds [Keeper.Held] false
+// A holder that is paused past the end and wakes up finds [Lease.Held] false
 // before it acts. What it had sent before carries the old fence: engines that
-// check the fence refuse it; for the others a new holder waits [OrderLife]
-// before it gives orders ([Held.OrdersFrom]), and no order lives longer.
+// check the fence refuse it; for the others a new holder waits [OrderLifetime]
+// before it gives orders ([Term.OrdersFrom]), and no order lives longer.
 //
 // # Usage
 //
@@ -35,17 +35,17 @@
 	Table = "leases"
 	// DefaultLength is how long a lease lasts without renewal.
 	DefaultLength = 10 * time.Second
-	// OrderLife is the longest time for which an order given under a lease
+	// OrderLifetime is the longest time for which an order given under a lease
 	// may be carried out.
-	OrderLife = 2 * time.Second
+	OrderLifetime = 2 * time.Second
 
 	marginPart = 4 // the margin is this part of the length
 	periodPart = 4
 )
 
 type (
-	// Keeper takes and renews one lease.
-	Keeper struct {
+	// Lease takes and renews one lease.
+	Lease struct {
 		store  store.Store
 		name   string
 		self   string
@@ -53,7 +53,7 @@
 		now    func() time.Time
 
 		mu      sync.Mutex
-		held    Held
+		held    Term
 		until   time.Time
 		seen    uint64 // version of another holder's row
 		seenAt  time.Time
@@ -61,8 +61,8 @@
 		stopped bool
 	}
 
-	// Held is a lease while it is held.
-	Held struct {
+	// Term is a lease while it is held.
+	Term struct {
 		// Fence is the fencing number of this holder.
 		Fence uint64
 		// OrdersFrom is the time from which engines that don't check the
@@ -71,7 +71,7 @@
 	}
 
 	// Option changes a keeper under construction.
-	Option func(*Keeper)
+	Option func(*Lease)
 
 	row struct {
 		Holder string `json:"holder"` // "" after it was given up
@@ -80,40 +80,40 @@
 )
 
 // WithLength sets the length of the lease.
-func WithLength(d time.Duration) Option { return func(k *Keeper) { k.length = d } }
+func WithLength(d time.Duration) Option { return func(k *Lease) { k.length = d } }
 
 // WithNow sets the clock, which must be monotonic.
-func WithNow(f func() time.Time) Option { return func(k *Keeper) { k.now = f } }
+func WithNow(f func() time.Time) Option { return func(k *Lease) { k.now = f } }
 
 // New returns a keeper of the lease called name for the daemon self.
-func New(s store.Store, name, self string, os ...Option) *Keeper {
-	k := &Keeper{store: s, name: name, self: self, length: DefaultLength, now: time.Now}
+func New(s store.Store, name, self string, os ...Option) *Lease {
+	k := &Lease{store: s, name: name, self: self, length: DefaultLength, now: time.Now}
 	for _, o := range os {
 		o(k)
 	}
 	return k
 }
 
-// Period returns the time between two calls of [Keeper.Step].
-func (k *Keeper) Period() time.Duration { return k.length / periodPart }
+// RenewInterval returns the time between two calls of [Lease.AcquireOrRenew].
+func (k *Lease) RenewInterval() time.Duration { return k.length / periodPart }
 
 // Held returns the lease if it may still be used at time now.
-func (k *Keeper) Held(now time.Time) (Held, bool) {
+func (k *Lease) Held(now time.Time) (Term, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.held, now.Before(k.until)
 }
 
 // Holder returns the daemon that held the lease at the last look, or "".
-func (k *Keeper) Holder() string {
+func (k *Lease) Holder() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holder
 }
 
-// Step takes or renews the lease if it can. An error means that the store did
+// AcquireOrRenew takes or renews the lease if it can. An error means that the store did
 // not answer; what was held stays held until its time.
-func (k *Keeper) Step(ctx context.Context) error {
+func (k *Lease) AcquireOrRenew(ctx context.Context) error {
 	if k.isStopped() {
 		return nil
 	}
@@ -142,7 +142,7 @@
 
 // Release gives the lease up, so that another can take it at once, and takes
 // it no more.
-func (k *Keeper) Release(ctx context.Context) error {
+func (k *Lease) Release(ctx context.Context) error {
 	k.mu.Lock()
 	h, mine := k.held, k.now().Before(k.until)
 	k.stopped, k.until = true, time.Time{}
@@ -169,7 +169,7 @@
 	return errors.Wrap(err, "release lease")
 }
 
-func (k *Keeper) write(ctx context.Context, r row, expect uint64, started time.Time) error {
+func (k *Lease) write(ctx context.Context, r row, expect uint64, started time.Time) error {
 	b, err := json.Marshal(r)
 	if err != nil {
 		return errors.Wrap(err, "encode lease")
@@ -187,7 +187,7 @@
 		return nil
 	}
 	if r.Fence != k.held.Fence {
-		k.held = Held{Fence: r.Fence, OrdersFrom: k.now().Add(OrderLife)}
+		k.held = Term{Fence: r.Fence, OrdersFrom: k.now().Add(OrderLifetime)}
 	}
 	k.holder = k.self
 	k.until = started.Add(k.length - k.length/marginPart)
@@ -195,7 +195,7 @@
 }
 
 // look notes another holder's row, and since when it has stood unchanged.
-func (k *Keeper) look(r row, version uint64, now time.Time) {
+func (k *Lease) look(r row, version uint64, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.holder = r.Holder
@@ -204,19 +204,19 @@
 	}
 }
 
-func (k *Keeper) stale(now time.Time) bool {
+func (k *Lease) stale(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return now.Sub(k.seenAt) > k.length+k.length/marginPart
 }
 
-func (k *Keeper) fence() uint64 {
+func (k *Lease) fence() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.held.Fence
 }
 
-func (k *Keeper) isStopped() bool {
+func (k *Lease) isStopped() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.stopped
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -18,7 +18,7 @@
 var errLost = errors.New("no answer")
 
 // holders returns how many keepers think at this moment that they hold it.
-func holders(ks []*lease.Keeper) int {
+func holders(ks []*lease.Lease) int {
 	n := 0
 	for _, k := range ks {
 		if _, ok := k.Held(time.Now()); ok {
@@ -28,8 +28,8 @@
 	return n
 }
 
-func keepers(s store.Store, names ...string) []*lease.Keeper {
-	var ks []*lease.Keeper
+func keepers(s store.Store, names ...string) []*lease.Lease {
+	var ks []*lease.Lease
 	for _, n := range names {
 		ks = append(ks, lease.New(s, "control/a", n, lease.WithLength(length)))
 	}
@@ -61,7 +61,7 @@
 			taken := 0
 			for range 1500 {
 				k := ks[r.IntN(len(ks))] // the others are paused meanwhile
-				_ = k.Step(context.Background())
+				_ = k.AcquireOrRenew(context.Background())
 				if n := holders(ks); n > 1 {
 					t.Fatalf("seed %d: %d holders at once", seed, n)
 				}
@@ -86,8 +86,8 @@
 func TestPausedHolderFindsItsLeaseGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ks := keepers(store.NewMemory().Store(), "one", "two")
-		step := func(k *lease.Keeper) {
-			if err := k.Step(context.Background()); err != nil {
+		step := func(k *lease.Lease) {
+			if err := k.AcquireOrRenew(context.Background()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -106,8 +106,8 @@
 		if !ok || second.Fence <= first.Fence {
 			t.Fatalf("the second has %+v, %v after the first's %+v", second, ok, first)
 		}
-		if wait := time.Until(second.OrdersFrom); wait < lease.OrderLife {
-			t.Errorf("a new holder waits %v before orders that no fence checks, want %v", wait, lease.OrderLife)
+		if wait := time.Until(second.OrdersFrom); wait < lease.OrderLifetime {
+			t.Errorf("a new holder waits %v before orders that no fence checks, want %v", wait, lease.OrderLifetime)
 		}
 		step(ks[0]) // wakes and goes on
 		if _, ok := ks[0].Held(time.Now()); ok {
@@ -120,16 +120,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		ks := keepers(store.NewMemory().Store(), "one", "two")
 		ctx := context.Background()
-		if err := errors.CombineErrors(ks[0].Step(ctx), ks[0].Release(ctx)); err != nil {
+		if err := errors.CombineErrors(ks[0].AcquireOrRenew(ctx), ks[0].Release(ctx)); err != nil {
 			t.Fatal(err)
 		}
-		if err := ks[1].Step(ctx); err != nil {
+		if err := ks[1].AcquireOrRenew(ctx); err != nil {
 			t.Fatal(err)
 		}
 		if h, ok := ks[1].Held(time.Now()); !ok || h.Fence != 2 {
 			t.Errorf("after the release the second has %+v, %v", h, ok)
 		}
-		if err := ks[0].Step(ctx); err != nil || holders(ks) != 1 {
+		if err := ks[0].AcquireOrRenew(ctx); err != nil || holders(ks) != 1 {
 			t.Errorf("a released keeper took the lease again: %v", err)
 		}
 	})
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -54,7 +54,7 @@
 	dispatcher *dispatch.Dispatcher
 	server     *peers.Server
 	batcher    *claim.Batcher
-	lease      *lease.Keeper
+	lease      *lease.Lease
 	upkeep     *upkeep.Upkeep
 	callers    *callers.Server
 	operators  *operators.Server
--- a/daemon/upkeep/lease.go
+++ b/daemon/upkeep/lease.go
@@ -14,10 +14,10 @@
 // snapshots of the templates, from which new daemons start, and trims the log
 // of changes that they make needless.
 func (u *Upkeep) keepLease(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, u.lease.Period())
+	ctx, cancel := context.WithTimeout(ctx, u.lease.RenewInterval())
 	defer cancel()
 	before, had := u.lease.Held(boottime.Time())
-	_ = u.lease.Step(ctx) // a silent platform shows in the lease's end
+	_ = u.lease.AcquireOrRenew(ctx) // a silent platform shows in the lease's end
 	after, has := u.lease.Held(boottime.Time())
 	switch {
 	case has && (!had || before.Fence != after.Fence):
--- a/daemon/upkeep/orders.go
+++ b/daemon/upkeep/orders.go
@@ -124,7 +124,7 @@
 // order gives one order. It looks at the lease once more right before, since
 // the daemon may have been paused; an engine that checks no fence gets orders
 // only after those of an earlier holder have run out.
-func (u *Upkeep) order(ctx context.Context, v *control.View, held lease.Held, m placement.Move) {
+func (u *Upkeep) order(ctx context.Context, v *control.View, held lease.Term, m placement.Move) {
 	if !v.ChecksFence(m.Addr) && boottime.Time().Before(held.OrdersFrom) {
 		return
 	}
@@ -135,7 +135,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTime)
 	defer cancel()
 	err := u.engines.Command(ctx, m.Addr, engine.Order{
-		Fence: held.Fence, Action: engine.Action(m.Action), Model: m.Copy.Model, Version: m.Copy.Version, Life: lease.OrderLife,
+		Fence: held.Fence, Action: engine.Action(m.Action), Model: m.Copy.Model, Version: m.Copy.Version, Life: lease.OrderLifetime,
 	})
 	if err != nil {
 		event.OrderFailed.Error(err, "engine", m.Addr, "action", m.Action, "fence", held.Fence)
--- a/daemon/upkeep/upkeep.go
+++ b/daemon/upkeep/upkeep.go
@@ -42,7 +42,7 @@
 		engines   *engine.Client
 		hosts     hosts.List
 		changes   *changes.Log
-		lease     *lease.Keeper
+		lease     *lease.Lease
 		pool      *ants.Pool
 		periods   settings.Periods
 		bootstrap []string
@@ -72,7 +72,7 @@
 func WithChanges(l *changes.Log) Option { return func(u *Upkeep) { u.changes = l } }
 
 // WithLease sets the keeper of the hall's control lease.
-func WithLease(k *lease.Keeper) Option { return func(u *Upkeep) { u.lease = k } }
+func WithLease(k *lease.Lease) Option { return func(u *Upkeep) { u.lease = k } }
 
 // WithPool sets the pool that tasks run on.
 func WithPool(p *ants.Pool) Option { return func(u *Upkeep) { u.pool = p } }
@@ -102,7 +102,7 @@
 		{period: u.periods.Templates, run: u.readTemplates},
 		{period: u.periods.Hosts, run: u.readHosts},
 		{period: u.periods.Sync, run: u.syncMembers},
-		{period: u.lease.Period(), run: u.keepLease},
+		{period: u.lease.RenewInterval(), run: u.keepLease},
 		{period: placePeriod, run: u.place},
 		{period: sweepPeriod, run: u.sweep},
 	}
