--- a/cmd/capacity/start.go
+++ b/cmd/capacity/start.go
@@ -112,5 +112,5 @@
 		}
 		ts[i] = c.Template
 	}
-	return s, log.SaveSnapshot(ctx, template.SnapshotBook(fullWorkspaces, ts))
+	return s, log.SaveSnapshot(ctx, template.NewSetAt(fullWorkspaces, ts))
 }
--- a/cmd/capacity/state.go
+++ b/cmd/capacity/state.go
@@ -75,12 +75,12 @@
 	}
 }
 
-func fullBook() *template.Book {
+func fullBook() *template.Set {
 	ts := make([]template.Template, fullWorkspaces)
 	for i := range ts {
 		ts[i] = exampleTemplate(i)
 	}
-	return template.SnapshotBook(fullWorkspaces, ts)
+	return template.NewSetAt(fullWorkspaces, ts)
 }
 
 func fullMembers() []member.Member {
--- a/core/changes/changes_test.go
+++ b/core/changes/changes_test.go
@@ -127,10 +127,10 @@
 	reach := changes.WithReach(3)
 	log, clean := changes.New(flaky, reach), changes.New(s, reach)
 	var all []template.Change // never trimmed
-	books := make([]*template.Book, 3)
-	recents := make([]template.Recent, 3)
+	books := make([]*template.Set, 3)
+	recents := make([]template.RecentChanges, 3)
 	for i := range books {
-		books[i] = template.NewBook()
+		books[i] = template.NewSet()
 	}
 	for i := range 40 {
 		ws := fmt.Sprint("w", r.IntN(3))
--- a/core/changes/snapshot.go
+++ b/core/changes/snapshot.go
@@ -40,7 +40,7 @@
 
 // SaveSnapshot stores the whole book as one object, unless a snapshot that is
 // as new is there.
-func (l *Log) SaveSnapshot(ctx context.Context, b *template.Book) error {
+func (l *Log) SaveSnapshot(ctx context.Context, b *template.Set) error {
 	p, version, err := l.pointer(ctx)
 	if err != nil || p.Number >= b.Number() {
 		return err
@@ -74,10 +74,10 @@
 
 // LoadSnapshot returns the newest stored book, or an empty one if there is
 // none.
-func (l *Log) LoadSnapshot(ctx context.Context) (*template.Book, error) {
+func (l *Log) LoadSnapshot(ctx context.Context) (*template.Set, error) {
 	p, _, err := l.pointer(ctx)
 	if err != nil || p.Name == "" {
-		return template.NewBook(), err
+		return template.NewSet(), err
 	}
 	b, err := l.store.GetObject(ctx, p.Name)
 	if err != nil {
@@ -90,7 +90,7 @@
 	if err := json.Unmarshal(b, &s); err != nil {
 		return nil, errors.Wrap(err, "decode snapshot")
 	}
-	return template.SnapshotBook(s.Number, s.Templates), nil
+	return template.NewSetAt(s.Number, s.Templates), nil
 }
 
 // Trim deletes the oldest changes of the log, a bounded number of them: those
--- a/core/changes/snapshot_test.go
+++ b/core/changes/snapshot_test.go
@@ -12,11 +12,11 @@
 
 // applied returns a log with n changes, each of a new workspace, and a book of
 // them all.
-func applied(t *testing.T, s store.Store, n int, os ...changes.Option) (*changes.Log, *template.Book) {
+func applied(t *testing.T, s store.Store, n int, os ...changes.Option) (*changes.Log, *template.Set) {
 	t.Helper()
 	ctx := context.Background()
 	l := changes.New(s, os...)
-	b := template.NewBook()
+	b := template.NewSet()
 	for i := range n {
 		c, err := l.Apply(ctx, fmt.Sprint(i), example(fmt.Sprint("w", i), i%101), 0)
 		if err != nil {
@@ -27,7 +27,7 @@
 	return l, b
 }
 
-func save(t *testing.T, l *changes.Log, b *template.Book) {
+func save(t *testing.T, l *changes.Log, b *template.Set) {
 	t.Helper()
 	if err := l.SaveSnapshot(context.Background(), b); err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	save(t, l, template.NewBook().Apply(cs[:3]))
+	save(t, l, template.NewSet().Apply(cs[:3]))
 	b, err := l.LoadSnapshot(ctx)
 	if err != nil || b.Number() != 3 {
 		t.Fatalf("the snapshot is at %d, %v", b.Number(), err)
@@ -89,7 +89,7 @@
 					t.Fatal(err)
 				}
 			})
-			save(t, changes.New(paused), template.NewBook().Apply(cs[:5]))
+			save(t, changes.New(paused), template.NewSet().Apply(cs[:5]))
 			if b, err := l.LoadSnapshot(ctx); err != nil || b.Number() != newest.Number() {
 				t.Errorf("the snapshot in force is at %d, %v, want %d", b.Number(), err, newest.Number())
 			}
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	for at := 100; at <= n; at += 50 {
-		save(t, l, template.NewBook().Apply(cs[:at]))
+		save(t, l, template.NewSet().Apply(cs[:at]))
 		if _, err := l.Trim(ctx); err != nil {
 			t.Fatal(err)
 		}
--- a/core/template/recent.go
+++ b/core/template/recent.go
@@ -7,22 +7,22 @@
 const recentLength = 256
 
 type (
-	// Recent is the immutable list of the last changes without a gap, oldest
+	// RecentChanges is the immutable list of the last changes without a gap, oldest
 	// first.
-	Recent struct {
+	RecentChanges struct {
 		changes []Change
 	}
 
 	// Update moves a book forward: by changes, or by a whole newer book.
 	Update struct {
 		Changes  []Change
-		Snapshot *Book
+		Snapshot *Set
 	}
 )
 
-// With returns r with more changes; those that it has already are passed
+// Append returns r with more changes; those that it has already are passed
 // over, and after a gap only the newer ones are kept.
-func (r Recent) With(cs []Change) Recent {
+func (r RecentChanges) Append(cs []Change) RecentChanges {
 	out := slices.Clone(r.changes)
 	for _, c := range cs {
 		last := lastNumber(out)
@@ -34,12 +34,12 @@
 		}
 		out = append(out, c)
 	}
-	return Recent{changes: out[max(0, len(out)-recentLength):]}
+	return RecentChanges{changes: out[max(0, len(out)-recentLength):]}
 }
 
 // After returns the changes after a number, and false if the list does not
 // reach back that far.
-func (r Recent) After(number uint64) ([]Change, bool) {
+func (r RecentChanges) After(number uint64) ([]Change, bool) {
 	if len(r.changes) == 0 || r.changes[0].Number > number+1 {
 		return nil, false
 	}
@@ -49,16 +49,16 @@
 
 // Update returns b moved forward by u, and the recent changes that go with
 // it. It never goes back.
-func (b *Book) Update(u Update, r Recent) (*Book, Recent) {
+func (b *Set) Update(u Update, r RecentChanges) (*Set, RecentChanges) {
 	n := b.Newer(u.Snapshot)
 	if n != b {
-		r = Recent{}
+		r = RecentChanges{}
 	}
 	moved := n.Apply(u.Changes)
 	if moved.Number() == n.Number() {
 		return n, r
 	}
-	return moved, r.With(u.Changes)
+	return moved, r.Append(u.Changes)
 }
 
 func lastNumber(cs []Change) uint64 {
--- a/core/template/book.go
+++ b/core/template/set.go
@@ -19,23 +19,23 @@
 		Template Template `json:"template"`
 	}
 
-	// Book is the immutable set of the templates in force on a daemon, up to
+	// Set is the immutable set of the templates in force on a daemon, up to
 	// and with change Number.
-	Book struct {
+	Set struct {
 		number     uint64
 		templates  map[string]Template
 		credential map[string]string // credential digest to workspace
 	}
 )
 
-// NewBook returns a book that has no change yet.
-func NewBook() *Book {
-	return &Book{templates: map[string]Template{}, credential: map[string]string{}}
+// NewSet returns a book that has no change yet.
+func NewSet() *Set {
+	return &Set{templates: map[string]Template{}, credential: map[string]string{}}
 }
 
-// SnapshotBook returns a book of whole templates as of change number n.
-func SnapshotBook(n uint64, ts []Template) *Book {
-	b := NewBook()
+// NewSetAt returns a book of whole templates as of change number n.
+func NewSetAt(n uint64, ts []Template) *Set {
+	b := NewSet()
 	for _, t := range ts {
 		b.put(t)
 	}
@@ -44,13 +44,13 @@
 }
 
 // Number returns the number of the last change in force.
-func (b *Book) Number() uint64 { return b.number }
+func (b *Set) Number() uint64 { return b.number }
 
 // Apply returns a book with the changes cs, which must be in rising order of
 // number. A change that b has already is passed over, and a gap ends the
 // walk, so the result never goes back and never skips a change.
-func (b *Book) Apply(cs []Change) *Book {
-	n := &Book{
+func (b *Set) Apply(cs []Change) *Set {
+	n := &Set{
 		number:     b.number,
 		templates:  maps.Clone(b.templates),
 		credential: maps.Clone(b.credential),
@@ -69,14 +69,14 @@
 }
 
 // Newer returns whichever of b and o has the higher number.
-func (b *Book) Newer(o *Book) *Book {
+func (b *Set) Newer(o *Set) *Set {
 	if o != nil && o.number > b.number {
 		return o
 	}
 	return b
 }
 
-func (b *Book) put(t Template) {
+func (b *Set) put(t Template) {
 	for _, d := range b.templates[t.Workspace].CredentialSHA256 {
 		delete(b.credential, d)
 	}
@@ -87,13 +87,13 @@
 }
 
 // Template returns the template of a workspace, and whether there is one.
-func (b *Book) Template(workspace string) (Template, bool) {
+func (b *Set) Template(workspace string) (Template, bool) {
 	t, ok := b.templates[workspace]
 	return t, ok
 }
 
 // Templates returns all templates, by name of workspace.
-func (b *Book) Templates() []Template {
+func (b *Set) Templates() []Template {
 	ts := make([]Template, 0, len(b.templates))
 	for _, k := range slices.Sorted(maps.Keys(b.templates)) {
 		ts = append(ts, b.templates[k])
@@ -103,7 +103,7 @@
 
 // Authorize returns the template of the workspace that this credential
 // belongs to. Only digests are compared.
-func (b *Book) Authorize(credential string) (Template, bool) {
+func (b *Set) Authorize(credential string) (Template, bool) {
 	s := sha256.Sum256([]byte(credential))
 	d := hex.EncodeToString(s[:])
 	w, ok := b.credential[d]
--- a/core/template/template.go
+++ b/core/template/template.go
@@ -12,8 +12,8 @@
 //	if err != nil { ... }            // a fault that names key, value, remedy
 //	t = t.WithCrossover(template.Crossover{State: template.Moving, Percent: 20, Epoch: 4})
 //
-// A [Book] is the immutable set of all templates that a daemon knows. It only
-// moves forward: [Book.Apply] ignores a change that it already has.
+// A [Set] is the immutable set of all templates that a daemon knows. It only
+// moves forward: [Set.Apply] ignores a change that it already has.
 package template
 
 import (
--- a/core/template/template_test.go
+++ b/core/template/template_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := template.SnapshotBook(1, []template.Template{x})
+	b := template.NewSetAt(1, []template.Template{x})
 	if _, ok := b.Authorize("test"); !ok {
 		t.Error("the credential whose digest the template has is refused")
 	}
--- a/daemon/control/loop.go
+++ b/daemon/control/loop.go
@@ -73,7 +73,7 @@
 		members: member.New(self),
 		engines: directory.New(),
 		owned:   map[string]*ownedEngine{},
-		book:    template.NewBook(),
+		book:    template.NewSet(),
 		dirty:   true,
 	}
 	for _, o := range os {
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -31,8 +31,8 @@
 	owned    map[string]*ownedEngine
 	hosts    []hosts.Host
 	hostsAt  time.Time
-	book     *template.Book
-	recent   template.Recent
+	book     *template.Set
+	recent   template.RecentChanges
 	bookAt   time.Time
 	heard    uint64 // highest number of a template change heard of
 	platform platformState
--- a/daemon/control/view.go
+++ b/daemon/control/view.go
@@ -17,10 +17,10 @@
 		// Self is the daemon's own record.
 		Self member.Member
 		// Book has the templates in force, since BookAt.
-		Book   *template.Book
+		Book   *template.Set
 		BookAt time.Time
 		// Recent has the last template changes.
-		Recent template.Recent
+		Recent template.RecentChanges
 		// Members has all daemons known.
 		Members []member.Member
 		// Engines has all engines known.
--- a/daemon/peers/rpc.go
+++ b/daemon/peers/rpc.go
@@ -70,7 +70,7 @@
 		if err != nil {
 			return template.Update{}, err
 		}
-		return template.Update{Snapshot: template.SnapshotBook(r.GetNumber(), ts)}, nil
+		return template.Update{Snapshot: template.NewSetAt(r.GetNumber(), ts)}, nil
 	}
 	cs, err := decode[template.Change](r.GetChanges())
 	return template.Update{Changes: cs}, err
--- a/daemon/upkeep/templates_test.go
+++ b/daemon/upkeep/templates_test.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := log.SaveSnapshot(ctx, template.NewBook().Apply(cs[:saved])); err != nil {
+			if err := log.SaveSnapshot(ctx, template.NewSet().Apply(cs[:saved])); err != nil {
 				t.Fatal(err)
 			}
 			if n, err := log.Trim(ctx); n != saved-reach || err != nil {
