--- a/core/changes/changes.go
+++ b/core/changes/changes.go
@@ -78,9 +78,9 @@
 	}
 )
 
-// WithReach sets how many changes back a history looks; older ones are trimmed
+// WithRetention sets how many changes back a history looks; older ones are trimmed
 // once a snapshot has them.
-func WithReach(n uint64) Option { return func(l *Log) { l.reach = n } }
+func WithRetention(n uint64) Option { return func(l *Log) { l.reach = n } }
 
 // New returns the log in s.
 func New(s store.Store, os ...Option) *Log {
--- a/core/changes/changes_test.go
+++ b/core/changes/changes_test.go
@@ -124,7 +124,7 @@
 		}
 		return s.Commit(ctx, ws)
 	}
-	reach := changes.WithReach(3)
+	reach := changes.WithRetention(3)
 	log, clean := changes.New(flaky, reach), changes.New(s, reach)
 	var all []template.Change // never trimmed
 	books := make([]*template.Set, 3)
--- a/core/changes/snapshot_test.go
+++ b/core/changes/snapshot_test.go
@@ -77,7 +77,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := store.NewMemory().Store()
-			l, newest := applied(t, s, 20, changes.WithReach(3))
+			l, newest := applied(t, s, 20, changes.WithRetention(3))
 			cs, err := l.After(ctx, 0)
 			if err != nil {
 				t.Fatal(err)
@@ -101,7 +101,7 @@
 	ctx := context.Background()
 	const reach, n = 10, 400
 	m := store.NewMemory()
-	l, b := applied(t, m.Store(), n, changes.WithReach(reach))
+	l, b := applied(t, m.Store(), n, changes.WithRetention(reach))
 	if d, err := l.Trim(ctx); d != 0 || err != nil {
 		t.Errorf("without a snapshot %d changes were trimmed, %v", d, err)
 	}
--- a/core/deadline/deadline.go
+++ b/core/deadline/deadline.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// Passed returns the error with which ctx has ended, or would have if its
+// Err returns the error with which ctx has ended, or would have if its
 // timer had run; nil while there is time left.
-func Passed(ctx context.Context) error {
+func Err(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
--- a/daemon/callers/oldsite.go
+++ b/daemon/callers/oldsite.go
@@ -155,7 +155,7 @@
 func oldSiteFault(ctx context.Context, err error) error {
 	var s *web.StatusError
 	switch {
-	case deadline.Passed(ctx) != nil:
+	case deadline.Err(ctx) != nil:
 		return fault.New(fault.DeadlineExpired, "the old site did not answer in time", "ask again with more time").
 			WithRetryAfter(time.Second)
 	case errors.As(err, &s):
--- a/daemon/calls/calls.go
+++ b/daemon/calls/calls.go
@@ -102,7 +102,7 @@
 		switch {
 		case err == nil:
 			return a, nil
-		case deadline.Passed(ctx) != nil:
+		case deadline.Err(ctx) != nil:
 			return claim.Answer{}, fault.New(fault.DeadlineExpired, "the service did not answer in time",
 				"ask again with more time").WithRetryAfter(time.Second).WithCause(err)
 		case n+1 >= c.attempts || !c.budgets.Spend(x.Workspace):
@@ -121,7 +121,7 @@
 	}
 	var last error
 	for _, h := range hs {
-		if err := deadline.Passed(ctx); err != nil {
+		if err := deadline.Err(ctx); err != nil {
 			return claim.Answer{}, errors.Mark(err, ErrNotSent)
 		}
 		a, err := c.send(ctx, h, x)
--- a/daemon/calls/once.go
+++ b/daemon/calls/once.go
@@ -65,7 +65,7 @@
 	if !c.Owned() {
 		return o.follow(ctx, workspace, key, c, send)
 	}
-	if err := deadline.Passed(ctx); err != nil { // a daemon that was paused must not send late
+	if err := deadline.Err(ctx); err != nil { // a daemon that was paused must not send late
 		return claim.Answer{}, o.void(ctx, c, err)
 	}
 	a, err := send(ctx)
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -206,7 +206,7 @@
 	switch {
 	case errors.Is(err, ErrCallerGone):
 		return err
-	case deadline.Passed(ctx) != nil:
+	case deadline.Err(ctx) != nil:
 		return expired()
 	case errors.As(err, &f):
 		return err // a decision, not a failure of an engine
@@ -283,7 +283,7 @@
 // failedByEngine reports whether the engine, not the caller or the clock,
 // ended the attempt. A full or leaving engine has not failed.
 func failedByEngine(ctx context.Context, err error) bool {
-	return err != nil && deadline.Passed(ctx) == nil && !errors.IsAny(err, ErrCallerGone, engine.ErrBusy, engine.ErrLeaving)
+	return err != nil && deadline.Err(ctx) == nil && !errors.IsAny(err, ErrCallerGone, engine.ErrBusy, engine.ErrLeaving)
 }
 
 // finish tells the engine's owner that an attempt has ended. Nobody waits for
--- a/daemon/upkeep/templates_test.go
+++ b/daemon/upkeep/templates_test.go
@@ -21,7 +21,7 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			log := changes.New(store.NewMemory().Store(), changes.WithReach(reach))
+			log := changes.New(store.NewMemory().Store(), changes.WithRetention(reach))
 			for i := range accepted {
 				x := template.Template{
 					Workspace: fmt.Sprint("w", i), CredentialSHA256: []string{strings.Repeat("ab", 32)},
