--- a/core/claim/batcher.go
+++ b/core/claim/batcher.go
@@ -9,57 +9,60 @@
 
 const (
 	// DefaultWindow is how long the first row of a transaction waits for
-	// others.
+	// further rows.
 	DefaultWindow = 25 * time.Millisecond
-	// DefaultRows bounds the rows of one transaction.
-	DefaultRows = 250
+	// DefaultMaxRows is the maximum number of rows in one transaction.
+	DefaultMaxRows = 250
 
-	queueLength = 4096
+	queueCapacity = 4096
 )
 
 type (
-	// Batcher writes the rows of many callers in few transactions. Each row
-	// is still decided alone: a row that is not as expected is taken out, and
-	// the others are committed without it.
+	// Batcher combines the writes of many callers into few transactions.
+	// Each write is still decided separately: rows that do not meet their
+	// condition are removed from the batch, and the others are committed
+	// without them.
 	Batcher struct {
-		store  store.Store
-		window time.Duration
-		most   int
-		queue  chan pending
+		store   store.Store
+		window  time.Duration
+		maxRows int
+		queue   chan pending
 	}
 
-	// BatcherOption changes a batcher under construction.
+	// BatcherOption configures a [Batcher] during construction.
 	BatcherOption func(*Batcher)
 
 	pending struct {
 		write store.Write
-		reply chan outcome
+		reply chan writeReply
 	}
 
-	outcome struct {
+	writeReply struct {
 		result  Result
 		version uint64
 	}
 )
 
-// WithWindow sets how long a transaction is gathered.
+// WithWindow sets how long a batch collects rows.
 func WithWindow(d time.Duration) BatcherOption { return func(b *Batcher) { b.window = d } }
 
-// WithRows bounds the rows of one transaction.
-func WithRows(n int) BatcherOption { return func(b *Batcher) { b.most = n } }
+// WithMaxRows sets the maximum number of rows in one transaction.
+func WithMaxRows(n int) BatcherOption { return func(b *Batcher) { b.maxRows = n } }
 
-// NewBatcher returns a batcher that works once [Batcher.Run] is called.
-func NewBatcher(s store.Store, os ...BatcherOption) *Batcher {
-	b := &Batcher{store: s, window: DefaultWindow, most: DefaultRows, queue: make(chan pending, queueLength)}
-	for _, o := range os {
+// NewBatcher returns a batcher over s. It processes writes while [Batcher.Run]
+// runs.
+func NewBatcher(s store.Store, opts ...BatcherOption) *Batcher {
+	b := &Batcher{store: s, window: DefaultWindow, maxRows: DefaultMaxRows, queue: make(chan pending, queueCapacity)}
+	for _, o := range opts {
 		o(b)
 	}
 	return b
 }
 
-// Write is a [Writer]. A full queue is an answer of [Refused].
+// Write queues one write and waits for its result; it is a [Writer]. It returns
+// [Refused] if the queue is full and [Unknown] if ctx ends first.
 func (b *Batcher) Write(ctx context.Context, w store.Write) (Result, uint64) {
-	p := pending{write: w, reply: make(chan outcome, 1)}
+	p := pending{write: w, reply: make(chan writeReply, 1)}
 	select {
 	case b.queue <- p:
 	default:
@@ -73,60 +76,62 @@
 	}
 }
 
-// Run gathers and commits until ctx ends. Transactions overlap, so that a
-// slow one does not hold up the next.
+// Run collects and commits batches until ctx ends. Transactions run
+// concurrently, so that a slow one does not delay the next.
 func (b *Batcher) Run(ctx context.Context) {
-	var late []pending // rows whose key is in the batch before
+	var deferred []pending // rows whose key was already in the previous batch
 	for {
-		batch, next := b.gather(ctx, late)
+		batch, duplicates := b.gather(ctx, deferred)
 		if ctx.Err() != nil {
-			answer(append(batch, next...), outcome{result: Unknown})
+			replyAll(append(batch, duplicates...), writeReply{result: Unknown})
 			return
 		}
-		late = next
+		deferred = duplicates
 		go b.commit(ctx, batch)
 	}
 }
 
-// gather waits for a first row, then takes what comes within the window. Of
-// two rows with one key the second has to wait.
-func (b *Batcher) gather(ctx context.Context, late []pending) (batch, next []pending) {
+// gather waits for a first row, unless some are deferred, and then collects the
+// rows that arrive within the window. A further row with the same key is
+// returned in duplicates, for the next batch.
+func (b *Batcher) gather(ctx context.Context, deferred []pending) (batch, duplicates []pending) {
 	keys := map[string]bool{}
-	take := func(p pending) {
+	add := func(p pending) {
 		if keys[p.write.Key] {
-			next = append(next, p)
+			duplicates = append(duplicates, p)
 			return
 		}
 		keys[p.write.Key] = true
 		batch = append(batch, p)
 	}
-	for _, p := range late {
-		take(p)
+	for _, p := range deferred {
+		add(p)
 	}
 	if len(batch) == 0 {
 		select {
 		case p := <-b.queue:
-			take(p)
+			add(p)
 		case <-ctx.Done():
-			return batch, next
+			return batch, duplicates
 		}
 	}
 	t := time.NewTimer(b.window)
 	defer t.Stop()
-	for len(batch) < b.most {
+	for len(batch) < b.maxRows {
 		select {
 		case p := <-b.queue:
-			take(p)
+			add(p)
 		case <-t.C:
-			return batch, next
+			return batch, duplicates
 		case <-ctx.Done():
-			return batch, next
+			return batch, duplicates
 		}
 	}
-	return batch, next
+	return batch, duplicates
 }
 
-// commit writes a batch, without the rows that differ.
+// commit writes a batch. It retries without the rows that fail their condition
+// until the rest is written.
 func (b *Batcher) commit(ctx context.Context, batch []pending) {
 	for len(batch) > 0 {
 		ws := make([]store.Write, len(batch))
@@ -135,46 +140,46 @@
 		}
 		o, err := b.store.Commit(ctx, ws)
 		if store.IsRefused(err) {
-			answer(batch, outcome{result: Refused})
+			replyAll(batch, writeReply{result: Refused})
 			return
 		}
 		if err != nil {
-			answer(batch, outcome{result: Unknown})
+			replyAll(batch, writeReply{result: Unknown})
 			return
 		}
 		if o.Committed {
 			for i, p := range batch {
-				p.reply <- outcome{result: Written, version: o.Versions[i]}
+				p.reply <- writeReply{result: Written, version: o.Versions[i]}
 			}
 			return
 		}
-		batch = without(batch, o.Failed)
+		batch = dropFailed(batch, o.Failed)
 	}
 }
 
-// without answers the rows at the given indexes that they differ, and returns
-// the others.
-func without(batch []pending, failed []int) []pending {
-	differs := make(map[int]bool, len(failed))
+// dropFailed replies [ConditionFailed] to the rows at the given indexes and
+// returns the remaining ones.
+func dropFailed(batch []pending, failed []int) []pending {
+	isFailed := make(map[int]bool, len(failed))
 	for _, i := range failed {
-		differs[i] = true
+		isFailed[i] = true
 	}
-	rest := make([]pending, 0, len(batch))
+	remaining := make([]pending, 0, len(batch))
 	for i, p := range batch {
-		if differs[i] {
-			p.reply <- outcome{result: Differs}
+		if isFailed[i] {
+			p.reply <- writeReply{result: ConditionFailed}
 			continue
 		}
-		rest = append(rest, p)
+		remaining = append(remaining, p)
 	}
-	if len(rest) == len(batch) { // the service failed no row, yet wrote none
-		answer(rest, outcome{result: Unknown})
+	if len(remaining) == len(batch) { // nothing was committed, though no row failed its condition
+		replyAll(remaining, writeReply{result: Unknown})
 		return nil
 	}
-	return rest
+	return remaining
 }
 
-func answer(ps []pending, o outcome) {
+func replyAll(ps []pending, o writeReply) {
 	for _, p := range ps {
 		p.reply <- o
 	}
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -22,35 +22,36 @@
 
 var errLost = errors.New("no answer")
 
-// flaky wraps a store so that writes and reads meet drawn faults.
+// flaky returns s with faults injected: draw decides for each call whether the
+// request or its answer is lost, refused or delayed.
 func flaky(s store.Store, draw func() int) store.Store {
 	out := s
-	var late [][]store.Write // on their way, with nobody waiting for them
-	land := func(ctx context.Context) {
-		if len(late) > 0 && draw() < 3 {
-			_, _ = s.Commit(ctx, late[0])
-			late = late[1:]
+	var delayed [][]store.Write // sent, not yet applied, and no longer awaited
+	applyDelayed := func(ctx context.Context) {
+		if len(delayed) > 0 && draw() < 3 {
+			_, _ = s.Commit(ctx, delayed[0])
+			delayed = delayed[1:]
 		}
 	}
 	out.Commit = func(ctx context.Context, ws []store.Write) (store.Outcome, error) {
-		land(ctx)
+		applyDelayed(ctx)
 		switch draw() {
-		case 0: // never arrived
+		case 0: // the request is lost
 			return store.Outcome{}, errLost
-		case 1: // took effect, and the answer was lost
+		case 1: // the write takes effect and its answer is lost
 			_, _ = s.Commit(ctx, ws)
 			return store.Outcome{}, errLost
 		case 2:
 			return store.Outcome{}, store.ErrRefused
-		case 3: // takes effect later
-			late = append(late, ws)
+		case 3: // the write takes effect later
+			delayed = append(delayed, ws)
 			return store.Outcome{}, errLost
 		default:
 			return s.Commit(ctx, ws)
 		}
 	}
 	out.Read = func(ctx context.Context, rs []store.Ref) ([]store.Row, error) {
-		land(ctx)
+		applyDelayed(ctx)
 		if draw() == 0 {
 			return nil, errLost
 		}
@@ -59,61 +60,63 @@
 	return out
 }
 
-// naive is the meaning of claims with one lock and no faults.
-type naive struct {
+// runModel is the reference model: it counts the runs of each key under one lock.
+type runModel struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (n *naive) run(key string) {
+func (n *runModel) run(key string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.runs[key]++
 }
 
-// step is one caller's part in a command sequence: what it does once it has
-// the claim.
-type step int
+// callerAction is what a caller does once it owns the claim.
+type callerAction int
 
 const (
-	sendAndStore step = iota
+	sendAndComplete callerAction = iota
 	crashBeforeSend
 	crashAfterSend
-	pauseAndVoid
-	loseAnswer
-	steps
+	voidAfterPause
+	markLost
+	actionCount
 )
 
-// TestSequencesAgainstNaive runs sequences of claims, crashes, pauses, voids,
-// lost answers and withdrawals against a model with one lock.
-func TestSequencesAgainstNaive(t *testing.T) {
+// TestCommandSequencesMatchModel checks random sequences of claims, crashes,
+// pauses, voids, lost answers and withdrawals over a faulty store against a model
+// that counts runs: no key runs twice, and no key that is reported as not run
+// has run.
+func TestCommandSequencesMatchModel(t *testing.T) {
 	ps := gopter.DefaultTestParametersWithSeed(1)
 	ps.MinSuccessfulTests = 300
 	p := gopter.NewProperties(ps)
-	p.Property("a key runs at most once, and not run is true", prop.ForAll(
+	p.Property("a key runs at most once, and not at all if reported as not run", prop.ForAll(
 		func(seed uint64, moves []int) (bad string) {
-			synctest.Test(t, func(*testing.T) { bad = play(seed, moves) }) // pauses take no time
+			synctest.Test(t, func(*testing.T) { bad = runSequence(seed, moves) }) // virtual time
 			return bad
 		},
-		gen.UInt64(), gen.SliceOfN(40, gen.IntRange(0, int(steps)*4-1)),
+		gen.UInt64(), gen.SliceOfN(40, gen.IntRange(0, int(actionCount)*4-1)),
 	))
 	p.TestingRun(t)
 }
 
-// play returns "" if every answer agreed with the model.
-func play(seed uint64, moves []int) string {
+// runSequence executes the moves and returns a description of the first
+// disagreement with the model, or "".
+func runSequence(seed uint64, moves []int) string {
 	ctx := context.Background()
 	r := rand.New(rand.NewPCG(seed, 1))
 	m := store.NewMemory()
 	reg := claim.New(flaky(m.Store(), func() int { return r.IntN(8) }))
-	model := &naive{runs: map[string]int{}}
+	model := &runModel{runs: map[string]int{}}
 	keys := make([]string, 4)
 	for i := range keys {
 		keys[i] = uuid.Must(uuid.NewV7()).String()
 	}
-	said := map[string]string{}
-	for _, mv := range moves {
-		key, what := keys[mv/int(steps)], step(mv%int(steps))
+	reported := map[string]string{}
+	for _, move := range moves {
+		key, action := keys[move/int(actionCount)], callerAction(move%int(actionCount))
 		c, err := reg.Begin(ctx, "w", key)
 		switch {
 		case fault.Is(err, fault.Undecided):
@@ -121,45 +124,45 @@
 		case err != nil:
 			return fmt.Sprintf("unexpected %v", err)
 		case c.Owned():
-			if bad := act(ctx, c, key, what, model, said); bad != "" {
-				return bad
+			if violation := performAction(ctx, c, key, action, model, reported); violation != "" {
+				return violation
 			}
 		case c.State() == claim.Done && model.runs[key] != 1:
 			return fmt.Sprintf("done, but %d runs", model.runs[key])
 		case c.State() == claim.Void:
-			said[key] = "not run"
+			reported[key] = "not run"
 		case c.State() == claim.Open:
-			return "a claim that was decided is open"
+			return "Begin returned an open claim"
 		}
 		if model.runs[key] > 1 {
 			return fmt.Sprintf("%d runs", model.runs[key])
 		}
-		if said[key] == "not run" && model.runs[key] != 0 {
-			return "said not run, but ran"
+		if reported[key] == "not run" && model.runs[key] != 0 {
+			return "reported as not run, but ran"
 		}
 	}
 	return ""
 }
 
-func act(ctx context.Context, c claim.Claim, key string, what step, model *naive, said map[string]string) string {
-	switch what {
-	case sendAndStore:
+func performAction(ctx context.Context, c claim.Claim, key string, action callerAction, model *runModel, reported map[string]string) string {
+	switch action {
+	case sendAndComplete:
 		model.run(key)
 		_ = c.Done(ctx, claim.Answer{Status: 200})
 	case crashAfterSend:
 		model.run(key)
-	case loseAnswer:
+	case markLost:
 		model.run(key)
 		_ = c.MarkLost(ctx)
-	case pauseAndVoid:
+	case voidAfterPause:
 		if c.Void(ctx) == nil {
-			said[key] = "not run"
+			reported[key] = "not run"
 		}
 	}
 	return ""
 }
 
-func TestWithdrawnKeyCanBeUsedAgain(t *testing.T) {
+func TestWithdrawnKeyCanBeClaimedAgain(t *testing.T) {
 	ctx := context.Background()
 	good := store.NewMemory().Store()
 	key := uuid.Must(uuid.NewV7()).String()
@@ -183,56 +186,56 @@
 		t.Fatalf("got %v, want undecided", err)
 	}
 	if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || other.Owned() {
-		t.Fatalf("another has the claim before it was withdrawn: %v", err)
+		t.Fatalf("a second caller owns the key before the withdrawal: %v", err)
 	}
 	if err := c.Withdraw(ctx); err == nil {
-		t.Fatal("withdrawn while the store does not answer")
+		t.Fatal("Withdraw succeeded although the store does not answer")
 	}
 	readable = true
 	if err := c.Withdraw(ctx); err != nil {
 		t.Fatalf("withdraw: %v", err)
 	}
 	if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || !other.Owned() {
-		t.Errorf("the key can't be used after the withdrawal: %v", err)
+		t.Errorf("the key can't be claimed after the withdrawal: %v", err)
 	}
 }
 
-// TestLateWriteBlocksNoKey has the writes of an undecided claim take effect
-// after it was withdrawn, as they do when a cut link heals.
-func TestLateWriteBlocksNoKey(t *testing.T) {
+// TestDelayedWriteDoesNotBlockKey applies the writes of an undecided claim after
+// its withdrawal, as happens when a network partition heals.
+func TestDelayedWriteDoesNotBlockKey(t *testing.T) {
 	for name, tc := range map[string]struct {
-		before bool // whether an earlier claim on the key was withdrawn too
-		lost   int  // how many of the writes took effect at once, unanswered
+		withdrawnBefore bool // an earlier claim on the key was also withdrawn
+		unanswered      int  // number of writes that take effect at once, without an answer
 	}{
-		"all late":                       {},
-		"all late, on a withdrawn key":   {before: true},
-		"the first took effect":          {lost: 1},
-		"the first, on a withdrawn key":  {before: true, lost: 1},
-		"all took effect, none answered": {lost: 3},
+		"all delayed":                         {},
+		"all delayed, key withdrawn before":   {withdrawnBefore: true},
+		"first applied":                       {unanswered: 1},
+		"first applied, key withdrawn before": {withdrawnBefore: true, unanswered: 1},
+		"all applied, none answered":          {unanswered: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
 			good := store.NewMemory().Store()
 			key := uuid.Must(uuid.NewV7()).String()
-			var late [][]store.Write
-			undecided := func(lost int) {
+			var delayed [][]store.Write
+			beginUndecided := func(unanswered int) {
 				healed := false
 				bad := good
 				bad.Commit = func(ctx context.Context, ws []store.Write) (store.Outcome, error) {
 					if healed {
 						return good.Commit(ctx, ws)
 					}
-					if lost--; lost >= 0 {
+					if unanswered--; unanswered >= 0 {
 						_, _ = good.Commit(ctx, ws)
 					} else {
-						late = append(late, ws)
+						delayed = append(delayed, ws)
 					}
 					return store.Outcome{}, errLost
 				}
 				reads := 0
 				bad.Read = func(ctx context.Context, rs []store.Ref) ([]store.Row, error) {
-					if reads++; healed || (reads == 1 && lost < 0) {
-						return good.Read(ctx, rs) // so that it sees a withdrawn key
+					if reads++; healed || (reads == 1 && unanswered < 0) {
+						return good.Read(ctx, rs) // so that Begin sees the open row of a withdrawn key
 					}
 					return nil, errLost
 				}
@@ -245,21 +248,21 @@
 					t.Fatalf("withdraw: %v", err)
 				}
 			}
-			if tc.before {
-				undecided(0)
+			if tc.withdrawnBefore {
+				beginUndecided(0)
 			}
-			undecided(tc.lost)
-			for _, ws := range late {
+			beginUndecided(tc.unanswered)
+			for _, ws := range delayed {
 				_, _ = good.Commit(ctx, ws)
 			}
 			if other, err := claim.New(good).Begin(ctx, "w", key); err != nil || !other.Owned() {
-				t.Errorf("after late writes the key is %q, %v", other.State(), err)
+				t.Errorf("after the delayed writes the state of the key is %q, %v", other.State(), err)
 			}
 		})
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestCheckKey(t *testing.T) {
 	now := time.Now()
 	old, err := uuid.NewV7()
 	if err != nil {
@@ -270,13 +273,13 @@
 		now time.Time
 		ok  bool
 	}{
-		"fresh":        {old.String(), now, true},
-		"none":         {"", now, false},
-		"not a uuid":   {"order-17", now, false},
-		"version 4":    {uuid.NewString(), now, false},
-		"a day old":    {old.String(), now.Add(claim.KeyLife + time.Minute), false},
-		"ahead":        {old.String(), now.Add(-time.Hour), false},
-		"a clock away": {old.String(), now.Add(-time.Minute), true},
+		"fresh":             {old.String(), now, true},
+		"empty":             {"", now, false},
+		"not a UUID":        {"order-17", now, false},
+		"version 4":         {uuid.NewString(), now, false},
+		"expired":           {old.String(), now.Add(claim.KeyLifetime + time.Minute), false},
+		"far in the future": {old.String(), now.Add(-time.Hour), false},
+		"within clock skew": {old.String(), now.Add(-time.Minute), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := claim.CheckKey(tc.key, tc.now); (err == nil) != tc.ok {
@@ -284,12 +287,12 @@
 			}
 		})
 	}
-	if claim.RowLife <= claim.KeyLife {
-		t.Error("rows must live longer than keys are accepted")
+	if claim.RowLifetime <= claim.KeyLifetime {
+		t.Error("rows must be kept for longer than keys are accepted")
 	}
 }
 
-func TestBatcherDecidesEachRowAlone(t *testing.T) {
+func TestBatcherDecidesEachRowSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -312,7 +315,7 @@
 		for i, r := range results {
 			want := claim.Written
 			if i == 3 {
-				want = claim.Differs
+				want = claim.ConditionFailed
 			}
 			if r != want {
 				t.Errorf("row %d: result %d, want %d", i, r, want)
@@ -325,26 +328,26 @@
 	})
 }
 
-func TestBatcherOrdersOneKey(t *testing.T) {
+func TestBatcherSerializesWritesToOneKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		g := claim.NewBatcher(store.NewMemory().Store())
 		go g.Run(ctx)
 		var mu sync.Mutex
-		tally := map[claim.Result]int{}
+		results := map[claim.Result]int{}
 		var w sync.WaitGroup
 		for range 20 {
 			w.Go(func() {
 				r, _ := g.Write(ctx, store.Write{Table: "claims", Key: "same", Value: []byte("y")})
 				mu.Lock()
 				defer mu.Unlock()
-				tally[r]++
+				results[r]++
 			})
 		}
 		w.Wait()
-		if tally[claim.Written] != 1 || tally[claim.Differs] != 19 {
-			t.Errorf("got %v, want one written and the others differing", tally)
+		if results[claim.Written] != 1 || results[claim.ConditionFailed] != 19 {
+			t.Errorf("got %v, want one write written and the others with a failed condition", results)
 		}
 	})
 }
