--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -79,8 +79,8 @@
 	}
 )
 
-// WithLength sets the length of the lease.
-func WithLength(d time.Duration) Option { return func(k *Lease) { k.length = d } }
+// WithDuration sets the length of the lease.
+func WithDuration(d time.Duration) Option { return func(k *Lease) { k.length = d } }
 
 // WithNow sets the clock, which must be monotonic.
 func WithNow(f func() time.Time) Option { return func(k *Lease) { k.now = f } }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -31,7 +31,7 @@
 func keepers(s store.Store, names ...string) []*lease.Lease {
 	var ks []*lease.Lease
 	for _, n := range names {
-		ks = append(ks, lease.New(s, "control/a", n, lease.WithLength(length)))
+		ks = append(ks, lease.New(s, "control/a", n, lease.WithDuration(length)))
 	}
 	return ks
 }
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -136,7 +136,7 @@
 	n.batcher = claim.NewBatcher(platform)
 	n.server = peers.NewServer(n.loop, n.client, peers.WithBatcher(n.batcher.Write), peers.WithServerTLS(security),
 		peers.WithSuspects(func(rs []quarantine.Record) { n.dispatcher.HearSuspects(rs) }))
-	n.lease = lease.New(platform, "control/"+s.Hall, leaseName(self), lease.WithLength(s.Periods.Lease), lease.WithNow(boottime.Time))
+	n.lease = lease.New(platform, "control/"+s.Hall, leaseName(self), lease.WithDuration(s.Periods.Lease), lease.WithNow(boottime.Time))
 	n.upkeep = upkeep.New(n.loop, n.client,
 		upkeep.WithEngines(polled),
 		upkeep.WithHosts(hosts.New(n.control, s.Platform)),
