--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,22 +1,24 @@
-// Package lease keeps one lease in the platform's table service, with a
-// fencing number that rises with every new holder.
+// Package lease implements a lease on one row of the platform's table service,
+// with a fencing number that rises with every new holder.
 //
-// No two clocks are compared. A holder counts its lease from before it sent the
-// write, on its own clock, which has to go on while the machine is suspended, and
-// stops using it a margin before the end. Another daemon takes over only after it
-// has itself watched the row stand unchanged for the whole length and the margin.
+// Clocks of different daemons are never compared. A holder counts its lease from
+// the moment before it sent the write, on its own clock, and stops using it a
+// margin before the end; the clock must also advance while the host is
+// suspended. Another daemon takes the lease over only after it has itself
+// observed the row unchanged for the lease duration plus the margin.
 //
-// A holder that is paused past the end and wakes up finds [Lease.Held] false
-// before it acts. What it had sent before carries the old fence: engines that
-// check the fence refuse it; for the others a new holder waits [OrderLifetime]
-// before it gives orders ([Term.OrdersFrom]), and no order lives longer.
+// After a pause beyond the end of its lease, a holder sees [Lease.Held] return
+// false before it acts. Orders that it sent earlier carry the old fence: engines
+// that check the fence refuse them. For engines that don't, no order is valid for
+// longer than [OrderLifetime], and a new holder waits that long before it sends
+// its first ([Term.OrdersFrom]).
 //
 // # Usage
 //
-//	k := lease.New(store, "control/oslo-a", self, lease.WithNow(boottime.Time))
-//	// every k.Period():
-//	err := k.Step(ctx)
-//	h, ok := k.Held(boottime.Time()) // by the clock of WithNow
+//	l := lease.New(store, "control/oslo-a", self, lease.WithNow(boottime.Time))
+//	// every l.RenewInterval():
+//	err := l.AcquireOrRenew(ctx)
+//	t, ok := l.Held(boottime.Time()) // on the clock given to WithNow
 package lease
 
 import (
@@ -33,124 +35,132 @@
 const (
 	// Table is the name of the table of leases.
 	Table = "leases"
-	// DefaultLength is how long a lease lasts without renewal.
-	DefaultLength = 10 * time.Second
-	// OrderLifetime is the longest time for which an order given under a lease
-	// may be carried out.
+	// DefaultDuration is the default duration of a lease without renewal.
+	DefaultDuration = 10 * time.Second
+	// OrderLifetime is the time after which an order sent under a lease must
+	// no longer be executed.
 	OrderLifetime = 2 * time.Second
 
-	marginPart = 4 // the margin is this part of the length
-	periodPart = 4
+	marginDivisor = 4 // the safety margin is duration / marginDivisor
+	renewDivisor  = 4 // the renewal interval is duration / renewDivisor
 )
 
 type (
-	// Lease takes and renews one lease.
+	// Lease is one daemon's handle on a named lease: it acquires, renews and
+	// releases it. It is safe for concurrent use.
 	Lease struct {
-		store  store.Store
-		name   string
-		self   string
-		length time.Duration
-		now    func() time.Time
-
-		mu      sync.Mutex
-		held    Term
-		until   time.Time
-		seen    uint64 // version of another holder's row
-		seenAt  time.Time
-		holder  string
-		stopped bool
-	}
-
-	// Term is a lease while it is held.
+		store    store.Store
+		name     string
+		self     string
+		duration time.Duration
+		now      func() time.Time
+
+		mu              sync.Mutex
+		term            Term
+		validUntil      time.Time
+		observedVersion uint64    // version of the row at the last read
+		observedSince   time.Time // when observedVersion was first read
+		holder          string
+		released        bool
+	}
+
+	// Term is the time for which one holder has the lease without interruption.
 	Term struct {
-		// Fence is the fencing number of this holder.
+		// Fence is the fencing number of this term.
 		Fence uint64
-		// OrdersFrom is the time from which engines that don't check the
-		// fence may be given orders.
+		// OrdersFrom is the time from which orders may be sent to engines that
+		// don't check the fence.
 		OrdersFrom time.Time
 	}
 
-	// Option changes a keeper under construction.
+	// Option configures a [Lease] during construction.
 	Option func(*Lease)
 
 	row struct {
-		Holder string `json:"holder"` // "" after it was given up
+		Holder string `json:"holder"` // "" after a release
 		Fence  uint64 `json:"fence"`
 	}
 )
 
-// WithDuration sets the length of the lease.
-func WithDuration(d time.Duration) Option { return func(k *Lease) { k.length = d } }
+// WithDuration sets the duration of the lease, [DefaultDuration] by default.
+func WithDuration(d time.Duration) Option { return func(l *Lease) { l.duration = d } }
 
-// WithNow sets the clock, which must be monotonic.
-func WithNow(f func() time.Time) Option { return func(k *Lease) { k.now = f } }
+// WithNow sets the clock, which must be monotonic and advance while the host is
+// suspended.
+func WithNow(f func() time.Time) Option { return func(l *Lease) { l.now = f } }
 
-// New returns a keeper of the lease called name for the daemon self.
-func New(s store.Store, name, self string, os ...Option) *Lease {
-	k := &Lease{store: s, name: name, self: self, length: DefaultLength, now: time.Now}
-	for _, o := range os {
-		o(k)
+// New returns the handle of the daemon self on the lease called name. It holds
+// nothing until [Lease.AcquireOrRenew] acquires the lease.
+func New(s store.Store, name, self string, opts ...Option) *Lease {
+	l := &Lease{store: s, name: name, self: self, duration: DefaultDuration, now: time.Now}
+	for _, o := range opts {
+		o(l)
 	}
-	return k
+	return l
 }
 
-// RenewInterval returns the time between two calls of [Lease.AcquireOrRenew].
-func (k *Lease) RenewInterval() time.Duration { return k.length / periodPart }
+// RenewInterval returns the interval at which [Lease.AcquireOrRenew] has to be
+// called.
+func (l *Lease) RenewInterval() time.Duration { return l.duration / renewDivisor }
 
-// Held returns the lease if it may still be used at time now.
-func (k *Lease) Held(now time.Time) (Term, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.held, now.Before(k.until)
+// Held returns the current term, and whether the lease is held at time now, on
+// the clock given to [WithNow].
+func (l *Lease) Held(now time.Time) (Term, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.term, now.Before(l.validUntil)
 }
 
-// Holder returns the daemon that held the lease at the last look, or "".
-func (k *Lease) Holder() string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.holder
+// Holder returns the holder of the lease at the last read or write of the row, or
+// "" if there was none.
+func (l *Lease) Holder() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.holder
 }
 
-// AcquireOrRenew takes or renews the lease if it can. An error means that the store did
-// not answer; what was held stays held until its time.
-func (k *Lease) AcquireOrRenew(ctx context.Context) error {
-	if k.isStopped() {
+// AcquireOrRenew renews the lease if this daemon holds it, and acquires it if it
+// is free or expired. It returns nil if another daemon holds the lease, and does
+// nothing after [Lease.Release]. After an error, such as a store that does not
+// answer, a lease that was held stays held until it expires.
+func (l *Lease) AcquireOrRenew(ctx context.Context) error {
+	if l.isReleased() {
 		return nil
 	}
-	started := k.now()
-	rows, err := k.store.Read(ctx, []store.Ref{{Table: Table, Key: k.name}})
+	started := l.now()
+	rows, err := l.store.Read(ctx, []store.Ref{{Table: Table, Key: l.name}})
 	if err != nil {
 		return errors.Wrap(err, "read lease")
 	}
 	if len(rows) == 0 {
-		return k.write(ctx, row{Holder: k.self, Fence: 1}, store.Absent, started)
+		return l.write(ctx, row{Holder: l.self, Fence: 1}, store.Absent, started)
 	}
 	var r row
 	if err := json.Unmarshal(rows[0].Value, &r); err != nil {
 		return errors.Wrap(err, "decode lease")
 	}
-	k.look(r, rows[0].Version, started)
+	l.observe(r, rows[0].Version, started)
 	switch {
-	case r.Holder == k.self && k.fence() == r.Fence:
-		return k.write(ctx, r, rows[0].Version, started)
-	case r.Holder == "" || k.stale(started):
-		return k.write(ctx, row{Holder: k.self, Fence: r.Fence + 1}, rows[0].Version, started)
+	case r.Holder == l.self && l.fence() == r.Fence:
+		return l.write(ctx, r, rows[0].Version, started)
+	case r.Holder == "" || l.expired(started):
+		return l.write(ctx, row{Holder: l.self, Fence: r.Fence + 1}, rows[0].Version, started)
 	default:
 		return nil
 	}
 }
 
-// Release gives the lease up, so that another can take it at once, and takes
-// it no more.
-func (k *Lease) Release(ctx context.Context) error {
-	k.mu.Lock()
-	h, mine := k.held, k.now().Before(k.until)
-	k.stopped, k.until = true, time.Time{}
-	k.mu.Unlock()
-	if !mine {
+// Release gives up the lease, so that another daemon can acquire it without
+// waiting for it to expire, and prevents this handle from acquiring it again.
+func (l *Lease) Release(ctx context.Context) error {
+	l.mu.Lock()
+	term, held := l.term, l.now().Before(l.validUntil)
+	l.released, l.validUntil = true, time.Time{}
+	l.mu.Unlock()
+	if !held {
 		return nil
 	}
-	rows, err := k.store.Read(ctx, []store.Ref{{Table: Table, Key: k.name}})
+	rows, err := l.store.Read(ctx, []store.Ref{{Table: Table, Key: l.name}})
 	if err != nil || len(rows) == 0 {
 		return errors.Wrap(err, "read lease")
 	}
@@ -158,66 +168,71 @@
 	if err := json.Unmarshal(rows[0].Value, &r); err != nil {
 		return errors.Wrap(err, "decode lease")
 	}
-	if r.Holder != k.self || r.Fence != h.Fence {
+	if r.Holder != l.self || r.Fence != term.Fence {
 		return nil
 	}
 	b, err := json.Marshal(row{Fence: r.Fence})
 	if err != nil {
 		return errors.Wrap(err, "encode lease")
 	}
-	_, err = k.store.Commit(ctx, []store.Write{{Table: Table, Key: k.name, Value: b, Expect: rows[0].Version}})
+	_, err = l.store.Commit(ctx, []store.Write{{Table: Table, Key: l.name, Value: b, Expect: rows[0].Version}})
 	return errors.Wrap(err, "release lease")
 }
 
-func (k *Lease) write(ctx context.Context, r row, expect uint64, started time.Time) error {
+// write writes r if the row has the expected version. started is a time before
+// the row was read; a lease that is written is valid from then.
+func (l *Lease) write(ctx context.Context, r row, expect uint64, started time.Time) error {
 	b, err := json.Marshal(r)
 	if err != nil {
 		return errors.Wrap(err, "encode lease")
 	}
-	o, err := k.store.Commit(ctx, []store.Write{{Table: Table, Key: k.name, Value: b, Expect: expect}})
+	o, err := l.store.Commit(ctx, []store.Write{{Table: Table, Key: l.name, Value: b, Expect: expect}})
 	if err != nil {
 		return errors.Wrap(err, "write lease")
 	}
 	if !o.Committed {
-		return nil // another was sooner
+		return nil // another daemon wrote the row first
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.stopped {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.released {
 		return nil
 	}
-	if r.Fence != k.held.Fence {
-		k.held = Term{Fence: r.Fence, OrdersFrom: k.now().Add(OrderLifetime)}
+	if r.Fence != l.term.Fence {
+		l.term = Term{Fence: r.Fence, OrdersFrom: l.now().Add(OrderLifetime)}
 	}
-	k.holder = k.self
-	k.until = started.Add(k.length - k.length/marginPart)
+	l.holder = l.self
+	l.validUntil = started.Add(l.duration - l.duration/marginDivisor)
 	return nil
 }
 
-// look notes another holder's row, and since when it has stood unchanged.
-func (k *Lease) look(r row, version uint64, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.holder = r.Holder
-	if version != k.seen {
-		k.seen, k.seenAt = version, now
+// observe records the holder and the version of the row, and when that version
+// was first read.
+func (l *Lease) observe(r row, version uint64, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.holder = r.Holder
+	if version != l.observedVersion {
+		l.observedVersion, l.observedSince = version, now
 	}
 }
 
-func (k *Lease) stale(now time.Time) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return now.Sub(k.seenAt) > k.length+k.length/marginPart
+// expired reports whether the row has been observed unchanged for longer than
+// the duration of a lease plus the margin.
+func (l *Lease) expired(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return now.Sub(l.observedSince) > l.duration+l.duration/marginDivisor
 }
 
-func (k *Lease) fence() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.held.Fence
+func (l *Lease) fence() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.term.Fence
 }
 
-func (k *Lease) isStopped() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.stopped
+func (l *Lease) isReleased() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.released
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -13,32 +13,33 @@
 	"slipcrank.example/core/store"
 )
 
-const length = 8 * time.Second
+const duration = 8 * time.Second
 
 var errLost = errors.New("no answer")
 
-// holders returns how many keepers think at this moment that they hold it.
-func holders(ks []*lease.Lease) int {
+// countHolders returns how many of the leases report at this moment that they are held.
+func countHolders(leases []*lease.Lease) int {
 	n := 0
-	for _, k := range ks {
-		if _, ok := k.Held(time.Now()); ok {
+	for _, l := range leases {
+		if _, ok := l.Held(time.Now()); ok {
 			n++
 		}
 	}
 	return n
 }
 
-func keepers(s store.Store, names ...string) []*lease.Lease {
-	var ks []*lease.Lease
+func newLeases(s store.Store, names ...string) []*lease.Lease {
+	var leases []*lease.Lease
 	for _, n := range names {
-		ks = append(ks, lease.New(s, "control/a", n, lease.WithDuration(length)))
+		leases = append(leases, lease.New(s, "control/a", n, lease.WithDuration(duration)))
 	}
-	return ks
+	return leases
 }
 
-// TestOneHolderAtATime lets three daemons race for hours of virtual time,
-// with lost answers, outages and pauses of any length.
-func TestOneHolderAtATime(t *testing.T) {
+// TestAtMostOneHolder runs three daemons that compete for one lease, with lost
+// requests and answers, slow writes and pauses, for hours of virtual time: at most
+// one holds it at any moment, and the fence never falls.
+func TestAtMostOneHolder(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 1))
@@ -56,81 +57,81 @@
 				}
 				return s.Commit(ctx, ws)
 			}
-			ks := keepers(flaky, "one", "two", "three")
+			leases := newLeases(flaky, "one", "two", "three")
 			var last uint64
-			taken := 0
+			acquired := 0
 			for range 1500 {
-				k := ks[r.IntN(len(ks))] // the others are paused meanwhile
-				_ = k.AcquireOrRenew(context.Background())
-				if n := holders(ks); n > 1 {
+				l := leases[r.IntN(len(leases))] // the others are paused meanwhile
+				_ = l.AcquireOrRenew(context.Background())
+				if n := countHolders(leases); n > 1 {
 					t.Fatalf("seed %d: %d holders at once", seed, n)
 				}
-				if h, ok := k.Held(time.Now()); ok {
+				if h, ok := l.Held(time.Now()); ok {
 					if h.Fence < last {
 						t.Fatalf("seed %d: the fence went from %d back to %d", seed, last, h.Fence)
 					}
 					if h.Fence > last {
-						taken++
+						acquired++
 					}
 					last = h.Fence
 				}
 				<-time.After(time.Duration(r.IntN(4000)) * time.Millisecond)
 			}
-			if taken < 2 {
-				t.Errorf("seed %d: the lease was taken %d times; nothing was tested", seed, taken)
+			if acquired < 2 {
+				t.Errorf("seed %d: the lease was acquired %d times, want at least 2 for the test to be meaningful", seed, acquired)
 			}
 		})
 	}
 }
 
-func TestPausedHolderFindsItsLeaseGone(t *testing.T) {
+func TestPausedHolderLosesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ks := keepers(store.NewMemory().Store(), "one", "two")
-		step := func(k *lease.Lease) {
-			if err := k.AcquireOrRenew(context.Background()); err != nil {
+		leases := newLeases(store.NewMemory().Store(), "one", "two")
+		acquireOrRenew := func(l *lease.Lease) {
+			if err := l.AcquireOrRenew(context.Background()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		step(ks[0])
-		first, ok := ks[0].Held(time.Now())
+		acquireOrRenew(leases[0])
+		first, ok := leases[0].Held(time.Now())
 		if !ok {
-			t.Fatal("the first did not get a free lease")
+			t.Fatal("the first daemon did not acquire a free lease")
 		}
-		step(ks[1])                         // sees the row
-		<-time.After(length + length/4 + 1) // the first is paused
-		if _, ok := ks[0].Held(time.Now()); ok {
-			t.Error("a holder still holds its lease after its length")
+		acquireOrRenew(leases[1])               // observes the row
+		<-time.After(duration + duration/4 + 1) // the first holder is paused
+		if _, ok := leases[0].Held(time.Now()); ok {
+			t.Error("a paused holder still holds the lease after its duration")
 		}
-		step(ks[1])
-		second, ok := ks[1].Held(time.Now())
+		acquireOrRenew(leases[1])
+		second, ok := leases[1].Held(time.Now())
 		if !ok || second.Fence <= first.Fence {
-			t.Fatalf("the second has %+v, %v after the first's %+v", second, ok, first)
+			t.Fatalf("the second daemon has term %+v, %v after the first daemon's %+v", second, ok, first)
 		}
 		if wait := time.Until(second.OrdersFrom); wait < lease.OrderLifetime {
-			t.Errorf("a new holder waits %v before orders that no fence checks, want %v", wait, lease.OrderLifetime)
+			t.Errorf("a new holder waits %v before orders to engines that do not check the fence, want %v", wait, lease.OrderLifetime)
 		}
-		step(ks[0]) // wakes and goes on
-		if _, ok := ks[0].Held(time.Now()); ok {
-			t.Error("the paused holder took the lease back from a living one")
+		acquireOrRenew(leases[0]) // resumes after the pause
+		if _, ok := leases[0].Held(time.Now()); ok {
+			t.Error("the paused holder took the lease back from its new holder")
 		}
 	})
 }
 
-func TestReleaseHandsOverAtOnce(t *testing.T) {
+func TestReleasedLeaseIsAvailableImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ks := keepers(store.NewMemory().Store(), "one", "two")
+		leases := newLeases(store.NewMemory().Store(), "one", "two")
 		ctx := context.Background()
-		if err := errors.CombineErrors(ks[0].AcquireOrRenew(ctx), ks[0].Release(ctx)); err != nil {
+		if err := errors.CombineErrors(leases[0].AcquireOrRenew(ctx), leases[0].Release(ctx)); err != nil {
 			t.Fatal(err)
 		}
-		if err := ks[1].AcquireOrRenew(ctx); err != nil {
+		if err := leases[1].AcquireOrRenew(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if h, ok := ks[1].Held(time.Now()); !ok || h.Fence != 2 {
-			t.Errorf("after the release the second has %+v, %v", h, ok)
+		if h, ok := leases[1].Held(time.Now()); !ok || h.Fence != 2 {
+			t.Errorf("after the release the second daemon has term %+v, %v", h, ok)
 		}
-		if err := ks[0].AcquireOrRenew(ctx); err != nil || holders(ks) != 1 {
-			t.Errorf("a released keeper took the lease again: %v", err)
+		if err := leases[0].AcquireOrRenew(ctx); err != nil || countHolders(leases) != 1 {
+			t.Errorf("a released lease was acquired again by the same daemon: %v", err)
 		}
 	})
 }
