--- a/core/template/recent.go
+++ b/core/template/recent.go
@@ -2,26 +2,27 @@
 
 import "slices"
 
-// recentLength bounds the changes that a daemon keeps for others that lag a
-// little: about six hours at 1,100 changes a day.
-const recentLength = 256
+// maxRecentChanges is the maximum number of changes that a daemon keeps in memory
+// for daemons that lag slightly behind: about six hours at 1,100 changes a day.
+const maxRecentChanges = 256
 
 type (
-	// RecentChanges is the immutable list of the last changes without a gap, oldest
-	// first.
+	// RecentChanges is the immutable list of the latest changes, oldest first and
+	// without gaps.
 	RecentChanges struct {
 		changes []Change
 	}
 
-	// Update moves a book forward: by changes, or by a whole newer book.
+	// Update holds what advances a set: further changes, a complete newer set,
+	// or both.
 	Update struct {
 		Changes  []Change
 		Snapshot *Set
 	}
 )
 
-// Append returns r with more changes; those that it has already are passed
-// over, and after a gap only the newer ones are kept.
+// Append returns r extended by the changes cs. Changes that r already includes
+// are skipped, and after a gap, only the later changes are kept.
 func (r RecentChanges) Append(cs []Change) RecentChanges {
 	out := slices.Clone(r.changes)
 	for _, c := range cs {
@@ -34,11 +35,11 @@
 		}
 		out = append(out, c)
 	}
-	return RecentChanges{changes: out[max(0, len(out)-recentLength):]}
+	return RecentChanges{changes: out[max(0, len(out)-maxRecentChanges):]}
 }
 
-// After returns the changes after a number, and false if the list does not
-// reach back that far.
+// After returns the changes with a higher number, and false if the list does not
+// reach back to the one that follows number.
 func (r RecentChanges) After(number uint64) ([]Change, bool) {
 	if len(r.changes) == 0 || r.changes[0].Number > number+1 {
 		return nil, false
@@ -47,18 +48,18 @@
 	return r.changes[i:], true
 }
 
-// Update returns b moved forward by u, and the recent changes that go with
-// it. It never goes back.
-func (b *Set) Update(u Update, r RecentChanges) (*Set, RecentChanges) {
-	n := b.Newer(u.Snapshot)
-	if n != b {
+// Update returns s after the update u, and the recent changes that belong to the
+// result. The number of the result is never lower than that of s.
+func (s *Set) Update(u Update, r RecentChanges) (*Set, RecentChanges) {
+	newer := s.Newer(u.Snapshot)
+	if newer != s {
 		r = RecentChanges{}
 	}
-	moved := n.Apply(u.Changes)
-	if moved.Number() == n.Number() {
-		return n, r
+	updated := newer.Apply(u.Changes)
+	if updated.Number() == newer.Number() {
+		return newer, r
 	}
-	return moved, r.Append(u.Changes)
+	return updated, r.Append(u.Changes)
 }
 
 func lastNumber(cs []Change) uint64 {
--- a/core/template/set.go
+++ b/core/template/set.go
@@ -9,51 +9,52 @@
 )
 
 type (
-	// Change is one accepted change: the whole template as it was accepted,
-	// under the number that the store gave it. Numbers rise by one.
+	// Change is one accepted change: the complete template as it was accepted,
+	// under the number that the store assigned. Numbers rise by one.
 	Change struct {
 		Number uint64 `json:"number"`
-		// ID is the operator's id of the change, by which a repeat after a
-		// lost answer is recognised.
+		// ID is the operator's id of the change. It identifies a repeat after a
+		// lost answer.
 		ID       string   `json:"id"`
 		Template Template `json:"template"`
 	}
 
-	// Set is the immutable set of the templates in force on a daemon, up to
-	// and with change Number.
+	// Set is the immutable set of the templates in force on a daemon, up to and
+	// including change Number.
 	Set struct {
-		number     uint64
-		templates  map[string]Template
-		credential map[string]string // credential digest to workspace
+		number            uint64
+		templates         map[string]Template // by workspace
+		workspaceByDigest map[string]string   // by hex digest of a credential
 	}
 )
 
-// NewSet returns a book that has no change yet.
+// NewSet returns an empty set, at change number 0.
 func NewSet() *Set {
-	return &Set{templates: map[string]Template{}, credential: map[string]string{}}
+	return &Set{templates: map[string]Template{}, workspaceByDigest: map[string]string{}}
 }
 
-// NewSetAt returns a book of whole templates as of change number n.
-func NewSetAt(n uint64, ts []Template) *Set {
-	b := NewSet()
+// NewSetAt returns the set of the given templates as of change number.
+func NewSetAt(number uint64, ts []Template) *Set {
+	s := NewSet()
 	for _, t := range ts {
-		b.put(t)
+		s.put(t)
 	}
-	b.number = n
-	return b
+	s.number = number
+	return s
 }
 
 // Number returns the number of the last change in force.
-func (b *Set) Number() uint64 { return b.number }
+func (s *Set) Number() uint64 { return s.number }
 
-// Apply returns a book with the changes cs, which must be in rising order of
-// number. A change that b has already is passed over, and a gap ends the
-// walk, so the result never goes back and never skips a change.
-func (b *Set) Apply(cs []Change) *Set {
+// Apply returns a copy of s with the changes cs applied, which must be in rising
+// order of number. Changes that s already includes are skipped, and application
+// stops at a gap, so the number of the result is never lower than that of s and
+// no change is left out.
+func (s *Set) Apply(cs []Change) *Set {
 	n := &Set{
-		number:     b.number,
-		templates:  maps.Clone(b.templates),
-		credential: maps.Clone(b.credential),
+		number:            s.number,
+		templates:         maps.Clone(s.templates),
+		workspaceByDigest: maps.Clone(s.workspaceByDigest),
 	}
 	for _, c := range cs {
 		if c.Number <= n.number {
@@ -68,51 +69,51 @@
 	return n
 }
 
-// Newer returns whichever of b and o has the higher number.
-func (b *Set) Newer(o *Set) *Set {
-	if o != nil && o.number > b.number {
-		return o
+// Newer returns other if it is not nil and has a higher number, otherwise s.
+func (s *Set) Newer(other *Set) *Set {
+	if other != nil && other.number > s.number {
+		return other
 	}
-	return b
+	return s
 }
 
-func (b *Set) put(t Template) {
-	for _, d := range b.templates[t.Workspace].CredentialSHA256 {
-		delete(b.credential, d)
+func (s *Set) put(t Template) {
+	for _, d := range s.templates[t.Workspace].CredentialSHA256 {
+		delete(s.workspaceByDigest, d)
 	}
 	for _, d := range t.CredentialSHA256 {
-		b.credential[d] = t.Workspace
+		s.workspaceByDigest[d] = t.Workspace
 	}
-	b.templates[t.Workspace] = t
+	s.templates[t.Workspace] = t
 }
 
 // Template returns the template of a workspace, and whether there is one.
-func (b *Set) Template(workspace string) (Template, bool) {
-	t, ok := b.templates[workspace]
+func (s *Set) Template(workspace string) (Template, bool) {
+	t, ok := s.templates[workspace]
 	return t, ok
 }
 
-// Templates returns all templates, by name of workspace.
-func (b *Set) Templates() []Template {
-	ts := make([]Template, 0, len(b.templates))
-	for _, k := range slices.Sorted(maps.Keys(b.templates)) {
-		ts = append(ts, b.templates[k])
+// Templates returns all templates, sorted by workspace name.
+func (s *Set) Templates() []Template {
+	ts := make([]Template, 0, len(s.templates))
+	for _, k := range slices.Sorted(maps.Keys(s.templates)) {
+		ts = append(ts, s.templates[k])
 	}
 	return ts
 }
 
-// Authorize returns the template of the workspace that this credential
-// belongs to. Only digests are compared.
-func (b *Set) Authorize(credential string) (Template, bool) {
-	s := sha256.Sum256([]byte(credential))
-	d := hex.EncodeToString(s[:])
-	w, ok := b.credential[d]
+// Authorize returns the template of the workspace to which the credential
+// belongs, and whether there is one. Only digests are compared.
+func (s *Set) Authorize(credential string) (Template, bool) {
+	sum := sha256.Sum256([]byte(credential))
+	digest := hex.EncodeToString(sum[:])
+	w, ok := s.workspaceByDigest[digest]
 	if !ok {
 		return Template{}, false
 	}
-	t := b.templates[w]
+	t := s.templates[w]
 	for _, c := range t.CredentialSHA256 {
-		if subtle.ConstantTimeCompare([]byte(c), []byte(d)) == 1 {
+		if subtle.ConstantTimeCompare([]byte(c), []byte(digest)) == 1 {
 			return t, true
 		}
 	}
--- a/core/template/template.go
+++ b/core/template/template.go
@@ -1,19 +1,20 @@
-// Package template holds the templates with which operators drive slipcrank.
+// Package template defines the templates with which operators configure
+// slipcrank.
 //
-// A [Template] states, for one workspace, which models, adapters and versions
-// it uses, its share of each site, how urgent its traffic is, which calls to
-// plain services it may make, and how far its crossover from the old site has
-// come. Templates are immutable values: a change makes a copy with a With
-// method, and is accepted by a compare-and-swap on the version.
+// A [Template] states, for one workspace, the models, versions and adapters that
+// it may use, its share of each site, the urgency of its traffic, the calls that
+// it may make to plain services, and the progress of its crossover from the old
+// site. Templates are immutable values: the With methods return changed copies,
+// and a changed template is accepted by a compare-and-swap on its version.
 //
 // # Usage
 //
 //	t, err := template.Parse(yamlBytes)
-//	if err != nil { ... }            // a fault that names key, value, remedy
+//	if err != nil { ... }            // a fault that states key, value and remedy
 //	t = t.WithCrossover(template.Crossover{State: template.Moving, Percent: 20, Epoch: 4})
 //
-// A [Set] is the immutable set of all templates that a daemon knows. It only
-// moves forward: [Set.Apply] ignores a change that it already has.
+// A [Set] is the immutable set of all templates in force on a daemon. Its number
+// only rises: [Set.Apply] ignores changes that the set already includes.
 package template
 
 import (
@@ -26,7 +27,7 @@
 	"slipcrank.example/core/fault"
 )
 
-// Urgency is the class of a workspace's traffic.
+// Urgency is the priority class of a workspace's traffic.
 type Urgency string
 
 // The urgencies, most urgent first.
@@ -36,11 +37,10 @@
 	Review      Urgency = "review"
 )
 
-// State says where a workspace's traffic is served.
+// State is the state of a crossover: which sites serve a workspace's traffic.
 type State string
 
-// The states of a crossover. The usual round is old, moving, new, returning,
-// old.
+// The states of a crossover. The usual cycle is old, moving, new, returning, old.
 const (
 	Old       State = "old"
 	Moving    State = "moving"
@@ -49,10 +49,10 @@
 )
 
 const (
-	// DefaultDeadline is the time a request has when neither the caller nor
-	// the template says otherwise.
+	// DefaultDeadline is the time limit of a request if neither the caller nor
+	// the template sets one.
 	DefaultDeadline = 60 * time.Second
-	// MaxDeadline bounds what a caller may ask for.
+	// MaxDeadline is the longest time limit that a caller or a template may set.
 	MaxDeadline = 30 * time.Minute
 
 	maxPercent = 100
@@ -64,7 +64,7 @@
 		Name     string   `json:"name" yaml:"name"`
 		Version  string   `json:"version" yaml:"version"`
 		Adapters []string `json:"adapters,omitempty" yaml:"adapters,omitempty"`
-		// Unrepeatable says that a prompt on this model may run at most
+		// Unrepeatable means that a prompt to this model may run at most
 		// once, such as a review that is billed.
 		Unrepeatable bool `json:"unrepeatable,omitempty" yaml:"unrepeatable,omitempty"`
 	}
@@ -76,16 +76,16 @@
 		Repeatable bool   `json:"repeatable" yaml:"repeatable"`
 	}
 
-	// Share is the part of each site that the workspace may occupy while
-	// others want it too, from 0 to 1.
+	// Share is the fraction of each site's capacity, from 0 to 1, that the
+	// workspace may use while other workspaces compete for it.
 	Share struct {
 		OldSite float64 `json:"old_site" yaml:"old_site"`
 		NewSite float64 `json:"new_site" yaml:"new_site"`
 	}
 
-	// Crossover is the progress of a workspace's move. Percent is the part
-	// of the stable keys that the new site serves. Epoch rises with every
-	// change of the two others.
+	// Crossover is the progress of a workspace's move between sites. Percent
+	// is the percentage of stable keys that the new site serves. Epoch rises
+	// with every change of the other two fields.
 	Crossover struct {
 		State   State  `json:"state" yaml:"state"`
 		Percent int    `json:"percent" yaml:"percent"`
@@ -95,9 +95,9 @@
 	// Template is the immutable template of one workspace.
 	Template struct {
 		Workspace string `json:"workspace" yaml:"workspace"`
-		// Version is set by the store: 0 before the first apply.
+		// Version is assigned when a change is accepted; 0 before the first.
 		Version uint64 `json:"version" yaml:"version"`
-		// CredentialSHA256 holds the hex digests of accepted credentials.
+		// CredentialSHA256 holds the hex SHA-256 digests of accepted credentials.
 		CredentialSHA256 []string  `json:"credential_sha256" yaml:"credential_sha256"`
 		Models           []Model   `json:"models" yaml:"models"`
 		Calls            []Call    `json:"calls,omitempty" yaml:"calls,omitempty"`
@@ -108,7 +108,8 @@
 	}
 )
 
-// Parse reads a template from YAML and checks it. Unknown keys are refused.
+// Parse decodes a template from YAML, sets defaults and validates it. Unknown
+// keys are an error.
 func Parse(b []byte) (Template, error) {
 	var t Template
 	d := yaml.NewDecoder(bytes.NewReader(b), yaml.Strict())
@@ -121,7 +122,7 @@
 	return t, t.Validate()
 }
 
-// YAML returns t as YAML text.
+// YAML returns t encoded as YAML.
 func (t Template) YAML() ([]byte, error) { return yaml.Marshal(t) }
 
 func (t Template) withDefaults() Template {
@@ -135,8 +136,8 @@
 	return t
 }
 
-// Deadline returns the time that a request of this workspace has when its
-// caller states none.
+// Deadline returns the time limit of a request of this workspace whose caller
+// sets none.
 func (t Template) Deadline() time.Duration {
 	if t.DeadlineSeconds <= 0 {
 		return DefaultDeadline
