--- a/core/changes/changes_test.go
+++ b/core/changes/changes_test.go
@@ -23,7 +23,7 @@
 
 var errLost = errors.New("no answer")
 
-func example(workspace string, percent int) template.Template {
+func newTemplate(workspace string, percent int) template.Template {
 	return template.Template{
 		Workspace:        workspace,
 		CredentialSHA256: []string{strings.Repeat("ab", 32)},
@@ -33,27 +33,27 @@
 	}
 }
 
-func TestRacingOperatorsGetOneChangeAndConflicts(t *testing.T) {
+func TestConcurrentAppliesAcceptOneChange(t *testing.T) {
 	ctx := context.Background()
 	const racers = 8
 	s := store.NewMemory().Store()
-	var all sync.WaitGroup // each has read before any writes
-	all.Add(racers)
+	var allRead sync.WaitGroup // makes all racers read before any of them commits
+	allRead.Add(racers)
 	var reads atomic.Int64
-	held := s
-	held.Read = func(ctx context.Context, rs []store.Ref) ([]store.Row, error) {
+	synchronized := s
+	synchronized.Read = func(ctx context.Context, rs []store.Ref) ([]store.Row, error) {
 		rows, err := s.Read(ctx, rs)
 		if reads.Add(1) <= racers {
-			all.Done()
-			all.Wait()
+			allRead.Done()
+			allRead.Wait()
 		}
 		return rows, err
 	}
-	l := changes.New(held)
+	l := changes.New(synchronized)
 	var w sync.WaitGroup
 	errs := make([]error, racers)
 	for i := range errs {
-		w.Go(func() { _, errs[i] = l.Apply(ctx, fmt.Sprint("change-", i), example("till", i), 0) })
+		w.Go(func() { _, errs[i] = l.Apply(ctx, fmt.Sprint("change-", i), newTemplate("till", i), 0) })
 	}
 	w.Wait()
 	won := 0
@@ -62,7 +62,7 @@
 		case err == nil:
 			won++
 		case !fault.Is(err, fault.Conflict) || !strings.Contains(fault.From(err).Remedy(), "version 1"):
-			t.Errorf("a loser got %v, want a conflict that names version 1", err)
+			t.Errorf("a rejected change got %v, want a conflict that states version 1", err)
 		}
 	}
 	if won != 1 {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestRepeatAfterLostAnswerIsTheSameChange(t *testing.T) {
+func TestRepeatAfterLostAnswerReturnsSameChange(t *testing.T) {
 	ctx := context.Background()
 	s := store.NewMemory().Store()
 	flaky, down := s, false
@@ -85,31 +85,32 @@
 		}
 		return s.Read(ctx, rs)
 	}
-	if _, err := changes.New(flaky).Apply(ctx, "id-1", example("till", 10), 0); !fault.Is(err, fault.Undecided) {
+	if _, err := changes.New(flaky).Apply(ctx, "id-1", newTemplate("till", 10), 0); !fault.Is(err, fault.Undecided) {
 		t.Fatalf("got %v, want undecided", err)
 	}
 	l := changes.New(s)
-	c, err := l.Apply(ctx, "id-1", example("till", 10), 0)
+	c, err := l.Apply(ctx, "id-1", newTemplate("till", 10), 0)
 	if err != nil || c.Number != 1 || c.Template.Version != 1 {
-		t.Errorf("the repeat got change %+v and %v", c, err)
+		t.Errorf("the repeat returned change %+v, %v", c, err)
 	}
 	if n, err := l.Head(ctx); n != 1 || err != nil {
 		t.Errorf("head %d, %v after one change", n, err)
 	}
 }
 
-// TestDaemonsAgainstNaive has operators change templates through a flaky
-// store while daemons read, fetch and lag; each daemon's book must always be a
-// prefix of the accepted changes, and never go back.
-func TestDaemonsAgainstNaive(t *testing.T) {
+// TestDaemonsMatchReplayedChanges applies changes through a faulty store while
+// daemons that lag to different degrees fetch them from the log, from snapshots
+// and from one another. The set of each daemon must equal the replay of the
+// accepted changes up to its number, and its number must never fall.
+func TestDaemonsMatchReplayedChanges(t *testing.T) {
 	ps := gopter.DefaultTestParametersWithSeed(1)
 	ps.MinSuccessfulTests = 150
 	p := gopter.NewProperties(ps)
-	p.Property("books only move forward along the accepted changes", prop.ForAll(play, gen.UInt64()))
+	p.Property("the number of a set never falls, and the set equals the replayed changes", prop.ForAll(runScenario, gen.UInt64()))
 	p.TestingRun(t)
 }
 
-func play(seed uint64) string {
+func runScenario(seed uint64) string {
 	ctx := context.Background()
 	r := rand.New(rand.NewPCG(seed, 1))
 	s := store.NewMemory().Store()
@@ -124,36 +125,36 @@
 		}
 		return s.Commit(ctx, ws)
 	}
-	reach := changes.WithRetention(3)
-	log, clean := changes.New(flaky, reach), changes.New(s, reach)
-	var all []template.Change // never trimmed
-	books := make([]*template.Set, 3)
+	retention := changes.WithRetention(3)
+	log, clean := changes.New(flaky, retention), changes.New(s, retention)
+	var accepted []template.Change // never trimmed
+	sets := make([]*template.Set, 3)
 	recents := make([]template.RecentChanges, 3)
-	for i := range books {
-		books[i] = template.NewSet()
+	for i := range sets {
+		sets[i] = template.NewSet()
 	}
 	for i := range 40 {
 		ws := fmt.Sprint("w", r.IntN(3))
-		t, _ := books[0].Template(ws)
-		_, _ = log.Apply(ctx, fmt.Sprint("id", i), example(ws, r.IntN(101)), t.Version)
-		more, err := clean.After(ctx, uint64(len(all)))
+		t, _ := sets[0].Template(ws)
+		_, _ = log.Apply(ctx, fmt.Sprint("id", i), newTemplate(ws, r.IntN(101)), t.Version)
+		newlyAccepted, err := clean.After(ctx, uint64(len(accepted)))
 		if err != nil {
 			return err.Error()
 		}
-		all = append(all, more...)
+		accepted = append(accepted, newlyAccepted...)
 		if r.IntN(4) == 0 {
-			_ = log.SaveSnapshot(ctx, books[r.IntN(3)])
+			_ = log.SaveSnapshot(ctx, sets[r.IntN(3)])
 			_, _ = log.Trim(ctx)
 		}
 		d := r.IntN(3)
-		before := books[d].Number()
-		if r.IntN(3) == 0 { // from another daemon, which may be behind
-			o := r.IntN(3)
-			u := template.Update{Snapshot: books[o]}
-			if cs, ok := recents[o].After(before); ok {
+		before := sets[d].Number()
+		if r.IntN(3) == 0 { // from another daemon, which may lag behind
+			source := r.IntN(3)
+			u := template.Update{Snapshot: sets[source]}
+			if cs, ok := recents[source].After(before); ok {
 				u = template.Update{Changes: cs}
 			}
-			books[d], recents[d] = books[d].Update(u, recents[d])
+			sets[d], recents[d] = sets[d].Update(u, recents[d])
 		} else if cs, err := log.After(ctx, before); err == nil {
 			u := template.Update{Changes: cs}
 			if len(cs) > 0 && cs[0].Number > before+1 {
@@ -161,25 +162,26 @@
 					return err.Error()
 				}
 			}
-			books[d], recents[d] = books[d].Update(u, recents[d])
-			if head, _ := clean.Head(ctx); books[d].Number() != head {
-				return fmt.Sprintf("daemon %d fetched up to %d of %d", d, books[d].Number(), head)
+			sets[d], recents[d] = sets[d].Update(u, recents[d])
+			if head, _ := clean.Head(ctx); sets[d].Number() != head {
+				return fmt.Sprintf("daemon %d fetched changes up to %d, the head is %d", d, sets[d].Number(), head)
 			}
 		}
-		if books[d].Number() < before {
-			return fmt.Sprintf("daemon %d went from %d back to %d", d, before, books[d].Number())
+		if sets[d].Number() < before {
+			return fmt.Sprintf("daemon %d went back from change %d to %d", d, before, sets[d].Number())
 		}
 	}
-	for d, b := range books {
-		if want := naive(all, b.Number()); fmt.Sprint(b.Templates()) != want {
-			return fmt.Sprintf("daemon %d at %d has %v, want %s", d, b.Number(), b.Templates(), want)
+	for d, set := range sets {
+		if want := replay(accepted, set.Number()); fmt.Sprint(set.Templates()) != want {
+			return fmt.Sprintf("daemon %d at change %d has %v, want %s", d, set.Number(), set.Templates(), want)
 		}
 	}
 	return ""
 }
 
-// naive replays the first n changes into a plain map.
-func naive(all []template.Change, n uint64) string {
+// replay returns the templates after the first n changes, printed in order of
+// workspace. It is the reference for [template.Set].
+func replay(all []template.Change, n uint64) string {
 	m := map[string]template.Template{}
 	for _, c := range all {
 		if c.Number <= n {
--- a/core/changes/snapshot.go
+++ b/core/changes/snapshot.go
@@ -15,21 +15,22 @@
 	snapshotKey    = "snapshot"
 	snapshotPrefix = "templates/snapshot-"
 
-	// trimRows bounds the rows deleted in one transaction, and trimPages the
-	// transactions of one [Log.Trim].
-	trimRows  = 100
-	trimPages = 10
+	// trimBatchRows is the maximum number of rows deleted in one transaction,
+	// and maxTrimBatches the maximum number of transactions in one [Log.Trim].
+	trimBatchRows  = 100
+	maxTrimBatches = 10
 )
 
 type (
-	// pointer is the row that names the newest snapshot. It only moves
-	// forward, so a daemon that was paused can't put an older one in force.
-	pointer struct {
+	// snapshotPointer is the row that names the newest snapshot. Its number only
+	// rises, so a daemon that was paused can't replace the snapshot with an
+	// older one.
+	snapshotPointer struct {
 		Number uint64 `json:"number"`
 		Name   string `json:"name"`
-		// Old names objects that the next save deletes: the one before, which
-		// somebody may still be reading.
-		Old []string `json:"old,omitempty"`
+		// Superseded names the objects that the next save deletes: the previous
+		// snapshot, which a daemon may still be reading.
+		Superseded []string `json:"old,omitempty"`
 	}
 
 	snapshot struct {
@@ -38,44 +39,44 @@
 	}
 )
 
-// SaveSnapshot stores the whole book as one object, unless a snapshot that is
-// as new is there.
-func (l *Log) SaveSnapshot(ctx context.Context, b *template.Set) error {
-	p, version, err := l.pointer(ctx)
-	if err != nil || p.Number >= b.Number() {
+// SaveSnapshot stores set as one object and makes it the newest snapshot, unless
+// the stored one is at least as new.
+func (l *Log) SaveSnapshot(ctx context.Context, set *template.Set) error {
+	p, version, err := l.readPointer(ctx)
+	if err != nil || p.Number >= set.Number() {
 		return err
 	}
-	for _, name := range p.Old {
+	for _, name := range p.Superseded {
 		if err := l.store.DeleteObject(ctx, name); err != nil {
 			return errors.Wrap(err, "delete old snapshot")
 		}
 	}
-	v, err := json.Marshal(snapshot{Number: b.Number(), Templates: b.Templates()})
+	v, err := json.Marshal(snapshot{Number: set.Number(), Templates: set.Templates()})
 	if err != nil {
 		return errors.Wrap(err, "encode snapshot")
 	}
-	next := pointer{Number: b.Number(), Name: snapshotPrefix + uuid.NewString()}
+	next := snapshotPointer{Number: set.Number(), Name: snapshotPrefix + uuid.NewString()}
 	if p.Name != "" {
-		next.Old = []string{p.Name}
+		next.Superseded = []string{p.Name}
 	}
 	if err := l.store.PutObject(ctx, next.Name, v); err != nil {
 		return errors.Wrap(err, "store snapshot")
 	}
 	row, err := json.Marshal(next)
 	if err != nil {
-		return errors.Wrap(err, "encode pointer")
+		return errors.Wrap(err, "encode pointer to snapshot")
 	}
 	o, err := l.store.Commit(ctx, []store.Write{{Table: headTable, Key: snapshotKey, Value: row, Expect: version}})
-	if err == nil && !o.Committed { // another daemon was sooner
+	if err == nil && !o.Committed { // another daemon stored a snapshot first
 		return l.store.DeleteObject(ctx, next.Name)
 	}
-	return errors.Wrap(err, "point to snapshot")
+	return errors.Wrap(err, "write pointer to snapshot")
 }
 
-// LoadSnapshot returns the newest stored book, or an empty one if there is
+// LoadSnapshot returns the newest stored snapshot, or an empty set if there is
 // none.
 func (l *Log) LoadSnapshot(ctx context.Context) (*template.Set, error) {
-	p, _, err := l.pointer(ctx)
+	p, _, err := l.readPointer(ctx)
 	if err != nil || p.Name == "" {
 		return template.NewSet(), err
 	}
@@ -93,24 +94,24 @@
 	return template.NewSetAt(s.Number, s.Templates), nil
 }
 
-// Trim deletes the oldest changes of the log, a bounded number of them: those
-// that the newest snapshot has and that no history shows. It returns how many
-// it deleted. Daemons that lag further behind start from the snapshot anew.
+// Trim deletes changes that the newest snapshot includes and that are beyond the
+// retention, oldest first and a bounded number per call, and returns how many it
+// deleted. Daemons that lag further behind load the snapshot instead.
 func (l *Log) Trim(ctx context.Context) (int, error) {
-	p, _, err := l.pointer(ctx)
-	if err != nil || p.Number <= l.reach {
+	p, _, err := l.readPointer(ctx)
+	if err != nil || p.Number <= l.retention {
 		return 0, err
 	}
-	last := logKey(p.Number - l.reach)
+	lastTrimmed := logKey(p.Number - l.retention)
 	deleted := 0
-	for range trimPages {
-		rows, err := l.store.Scan(ctx, logTable, "", trimRows)
+	for range maxTrimBatches {
+		rows, err := l.store.Scan(ctx, logTable, "", trimBatchRows)
 		if err != nil {
-			return deleted, errors.Wrap(err, "read the log's start")
+			return deleted, errors.Wrap(err, "read the oldest changes")
 		}
 		var ws []store.Write
 		for _, r := range rows {
-			if r.Key <= last {
+			if r.Key <= lastTrimmed {
 				ws = append(ws, store.Write{Table: logTable, Key: r.Key, Expect: store.Any})
 			}
 		}
@@ -125,14 +126,14 @@
 	return deleted, nil
 }
 
-// pointer returns the row that names the newest snapshot, with its version; an
-// empty one if there is none.
-func (l *Log) pointer(ctx context.Context) (pointer, uint64, error) {
+// readPointer returns the row that names the newest snapshot and its version, or
+// an empty pointer and [store.Absent] if there is none.
+func (l *Log) readPointer(ctx context.Context) (snapshotPointer, uint64, error) {
 	rows, err := l.store.Read(ctx, []store.Ref{{Table: headTable, Key: snapshotKey}})
 	if err != nil || len(rows) == 0 {
-		return pointer{}, store.Absent, errors.Wrap(err, "read pointer to snapshot")
+		return snapshotPointer{}, store.Absent, errors.Wrap(err, "read pointer to snapshot")
 	}
-	var p pointer
+	var p snapshotPointer
 	err = json.Unmarshal(rows[0].Value, &p)
 	return p, rows[0].Version, errors.Wrap(err, "decode pointer to snapshot")
 }
