--- a/core/crossover/crossover.go
+++ b/core/crossover/crossover.go
@@ -1,9 +1,9 @@
-// Package crossover decides whether the old site or the new one serves a
-// request of a workspace that is being moved.
+// Package crossover selects the site, old or new, that serves a request of a
+// workspace that is being moved.
 //
-// The choice is made by the hash of a stable key of the request, so that a
-// repeat of the request lands on the same site, on every entry host, as long
-// as the template says the same.
+// The selection hashes a stable key of the request, so all entry hosts send
+// repeats of a request to the same site as long as the template's crossover is
+// unchanged.
 //
 // # Usage
 //
@@ -26,10 +26,10 @@
 	NewSite Site = "new"
 )
 
-const percent = 100
+const maxPercent = 100
 
 // Settled returns the site that serves all requests of a workspace that is not
-// being moved, and whether that is so.
+// being moved, and false if the workspace is being moved.
 func Settled(t template.Template) (Site, bool) {
 	switch t.Crossover.State {
 	case template.Old:
@@ -41,37 +41,39 @@
 	}
 }
 
-// Choose returns the site that serves the request with this key.
+// Choose returns the site that serves the request with this stable key.
 func Choose(t template.Template, key string) Site {
 	if s, ok := Settled(t); ok {
 		return s
 	}
-	part := t.Crossover.Percent
-	if int(xxhash.Sum64String(t.Workspace+"/"+key)%percent) < part {
+	percent := t.Crossover.Percent
+	if int(xxhash.Sum64String(t.Workspace+"/"+key)%maxPercent) < percent {
 		return NewSite
 	}
 	return OldSite
 }
 
-// Next returns t with its crossover moved to a state and a percentage, under
-// the next epoch. The steps are old, moving, new, returning, old; a move can
-// be turned round at any point.
-func Next(t template.Template, to template.State, part int) (template.Template, error) {
-	if !allowed(t.Crossover.State, to) {
+// Next returns t with the given crossover state and percentage and the next
+// epoch. The usual cycle is old, moving, new, returning, old; a move can be
+// reversed at any point. In states old and new the percentage is 0 and 100,
+// whatever is given. A transition between old and new that skips moving and
+// returning is a fault of kind bad_request.
+func Next(t template.Template, to template.State, percent int) (template.Template, error) {
+	if !validTransition(t.Crossover.State, to) {
 		return t, fault.Newf(fault.BadRequest, "go through moving or returning first",
 			"the crossover of %s can't go from %s to %s", t.Workspace, t.Crossover.State, to)
 	}
 	switch to {
 	case template.Old:
-		part = 0
+		percent = 0
 	case template.New:
-		part = percent
+		percent = maxPercent
 	}
-	t = t.WithCrossover(template.Crossover{State: to, Percent: part, Epoch: t.Crossover.Epoch + 1})
+	t = t.WithCrossover(template.Crossover{State: to, Percent: percent, Epoch: t.Crossover.Epoch + 1})
 	return t, t.Validate()
 }
 
-func allowed(from, to template.State) bool {
-	between := func(s template.State) bool { return s == template.Moving || s == template.Returning }
-	return from == to || between(from) || between(to)
+func validTransition(from, to template.State) bool {
+	inTransit := func(s template.State) bool { return s == template.Moving || s == template.Returning }
+	return from == to || inTransit(from) || inTransit(to)
 }
