--- a/core/store/memory.go
+++ b/core/store/memory.go
@@ -9,8 +9,8 @@
 )
 
 type (
-	// Memory is a store in memory: the plain meaning of the interface, for
-	// stand-ins and tests. Its zero value is not ready; use [NewMemory].
+	// Memory is an in-memory reference implementation of a [Store], for
+	// stand-ins and tests. Its zero value is not usable; use [NewMemory].
 	Memory struct {
 		mu      sync.Mutex
 		tables  map[string]map[string]memoryRow
@@ -27,12 +27,12 @@
 	}
 )
 
-// NewMemory returns an empty store.
+// NewMemory returns an empty Memory.
 func NewMemory() *Memory {
 	return &Memory{tables: map[string]map[string]memoryRow{}, objects: map[string][]byte{}}
 }
 
-// Store returns m as a [Store] that never fails.
+// Store returns a [Store] backed by m. Its functions never return an error.
 func (m *Memory) Store() Store {
 	return Store{
 		Commit:       m.commit,
@@ -44,7 +44,8 @@
 	}
 }
 
-// Counts returns the number of commits and of reads (with scans) so far.
+// Counts returns the numbers of operations so far: commits includes the writes and
+// deletions of objects, and reads includes scans and reads of objects.
 func (m *Memory) Counts() (commits, reads int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +58,7 @@
 	m.commits++
 	var o Outcome
 	for i, w := range ws {
-		r, ok := m.row(w.Table, w.Key)
+		r, ok := m.lookup(w.Table, w.Key)
 		if w.Expect == Any || (w.Expect == Absent && !ok) || (ok && w.Expect == r.version) {
 			continue
 		}
@@ -92,7 +93,8 @@
 	return m.version
 }
 
-func (m *Memory) row(table, key string) (memoryRow, bool) {
+// lookup returns a row, and false if there is none or its TTL has passed.
+func (m *Memory) lookup(table, key string) (memoryRow, bool) {
 	r, ok := m.tables[table][key]
 	if ok && !r.expiry.IsZero() && !time.Now().Before(r.expiry) {
 		delete(m.tables[table], key)
@@ -107,7 +109,7 @@
 	m.reads++
 	var out []Row
 	for _, ref := range rs {
-		if r, ok := m.row(ref.Table, ref.Key); ok {
+		if r, ok := m.lookup(ref.Table, ref.Key); ok {
 			out = append(out, Row{Table: ref.Table, Key: ref.Key, Value: r.value, Version: r.version})
 		}
 	}
@@ -126,7 +128,7 @@
 		if len(out) == limit {
 			break
 		}
-		if r, ok := m.row(table, k); ok {
+		if r, ok := m.lookup(table, k); ok {
 			out = append(out, Row{Table: table, Key: k, Value: r.value, Version: r.version})
 		}
 	}
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// Objects returns the names of the objects that are kept, in order.
+// Objects returns the names of the stored objects, sorted.
 func (m *Memory) Objects() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
