--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -1,10 +1,9 @@
-// Package fault defines the typed errors that slipcrank shows to callers and
+// Package fault defines the typed errors that slipcrank returns to callers and
 // operators.
 //
-// Every error that leaves a daemon has a kind, a message that states the
-// cause, and a remedy that states what the reader can do next. The kind
-// decides the HTTP status. An error may also carry the time after which a
-// repeat is worth while.
+// Every error that leaves a daemon has a kind, a message that states the cause,
+// and a remedy that states what the reader can do next. The kind determines the
+// HTTP status. An error may also carry the delay after which to retry.
 //
 // # Usage
 //
@@ -12,8 +11,8 @@
 //		"ask GET /v1/models for the models of this workspace")
 //	return err.WithRetryAfter(2 * time.Second)
 //
-// Code that receives an error of unknown origin calls [From], which returns
-// the fault inside it, or an [Internal] one.
+// Code that receives an error of unknown origin calls [From], which returns the
+// fault in its chain, or a new fault of kind [Internal].
 package fault
 
 import (
@@ -24,11 +23,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is the class of a fault. It is part of the public interface: callers
-// may branch on it.
+// Kind is the class of a fault. It is part of the public interface: callers may
+// branch on it.
 type Kind string
 
-// The kinds of fault, in the order in which a request can meet them.
+// The kinds of fault, in the order in which a request can encounter them.
 const (
 	BadRequest       Kind = "bad_request"
 	Unauthorized     Kind = "unauthorized"
@@ -54,7 +53,7 @@
 	Internal         Kind = "internal"
 )
 
-var statuses = map[Kind]int{
+var httpStatus = map[Kind]int{
 	BadRequest:       http.StatusBadRequest,
 	Unauthorized:     http.StatusUnauthorized,
 	UnknownWorkspace: http.StatusNotFound,
@@ -79,8 +78,7 @@
 	Internal:         http.StatusInternalServerError,
 }
 
-// Error is an immutable typed error. Its fields are read with methods and
-// changed copies are made with the With methods.
+// Error is an immutable typed error. The With methods return changed copies.
 type Error struct {
 	kind       Kind
 	message    string
@@ -90,20 +88,20 @@
 }
 
 // New returns a fault of kind k. The message states the cause and the remedy
-// states what the reader can do; both are shown to callers as they are and
-// must hold no secret.
+// states what the reader can do; both are shown to callers unchanged and must not
+// contain secrets.
 func New(k Kind, message, remedy string) *Error {
 	return &Error{kind: k, message: message, remedy: remedy}
 }
 
-// Newf is [New] with a formatted message. The remedy comes before the format,
-// so that the format's arguments stand last.
+// Newf is [New] with a formatted message. The remedy precedes the format, so that
+// the arguments of the format come last.
 func Newf(k Kind, remedy, format string, args ...any) *Error {
 	return New(k, fmt.Sprintf(format, args...), remedy)
 }
 
-// From returns the fault in err's chain. An error without one becomes an
-// [Internal] fault that keeps err as its cause. From(nil) is nil.
+// From returns the first fault in err's chain. An error without one becomes an
+// [Internal] fault that wraps err. From(nil) is nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -116,14 +114,14 @@
 		"ask again; if it stays, send the request id to the operators").WithCause(err)
 }
 
-// Is reports whether err holds a fault of kind k.
+// Is reports whether the first fault in err's chain is of kind k.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.kind == k
 }
 
-// Error returns kind, message and remedy in one line, with the cause if
-// there is one.
+// Error returns kind, message and remedy in one line, followed by the wrapped
+// error if there is one.
 func (e *Error) Error() string {
 	s := fmt.Sprintf("%s: %s (remedy: %s)", e.kind, e.message, e.remedy)
 	if e.cause != nil {
@@ -132,25 +130,24 @@
 	return s
 }
 
-// Unwrap returns the cause, or nil.
+// Unwrap returns the wrapped error, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Kind returns the class of e.
+// Kind returns the kind of e.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Message returns the cause in words.
+// Message returns the text that states the cause.
 func (e *Error) Message() string { return e.message }
 
-// Remedy returns what the reader can do.
+// Remedy returns the text that states what the reader can do.
 func (e *Error) Remedy() string { return e.remedy }
 
-// RetryAfter returns the time after which a repeat is worth while; zero
-// means that none was given.
+// RetryAfter returns the delay after which to retry, or 0 if none was set.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
-// Status returns the HTTP status for e's kind.
+// Status returns the HTTP status code for the kind of e.
 func (e *Error) Status() int {
-	if s, ok := statuses[e.kind]; ok {
+	if s, ok := httpStatus[e.kind]; ok {
 		return s
 	}
 	return http.StatusInternalServerError
@@ -163,7 +160,7 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that asks for a repeat after d.
+// WithRetryAfter returns a copy of e that asks the reader to retry after d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.retryAfter = d
