--- a/core/deadline/deadline.go
+++ b/core/deadline/deadline.go
@@ -1,10 +1,9 @@
-// Package deadline tells by the clock whether a context's time is over.
+// Package deadline checks the deadline of a context against the clock.
 //
-// A context ends when its timer runs. In a process that was paused past the
-// deadline (a stopped process, a host without processor time) the goroutine
-// that goes on first may be the one that is about to send, and the context
-// does not say yet that it has ended. Whoever must not act late asks here
-// instead of asking the context alone.
+// A context expires only when its timer fires. After a process was paused beyond
+// the deadline (it was stopped, or its host had no CPU time to give), a goroutine
+// that is about to send may resume before the timer fires, while [context.Context.Err]
+// still returns nil. Code that must not act after the deadline calls [Err] instead.
 //
 // # Usage
 //
@@ -16,8 +15,8 @@
 	"time"
 )
 
-// Err returns the error with which ctx has ended, or would have if its
-// timer had run; nil while there is time left.
+// Err returns ctx.Err(), or [context.DeadlineExceeded] if the deadline of ctx has
+// passed but its timer has not fired yet. It returns nil while there is time left.
 func Err(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
