--- a/core/pause/pause.go
+++ b/core/pause/pause.go
@@ -1,9 +1,9 @@
-// Package pause waits, unless a context ends first.
+// Package pause provides sleeps that end early when a context ends.
 //
 // # Usage
 //
 //	if err := pause.For(ctx, time.Second); err != nil { return err }
-//	_ = pause.UpTo(ctx, 50*time.Millisecond) // a random moment
+//	_ = pause.UpTo(ctx, 50*time.Millisecond) // at random below 50 ms
 package pause
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// For waits for d. If ctx ends first it returns the context's error.
+// For waits for d. If ctx ends first, it returns the context's error.
 func For(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -24,8 +24,8 @@
 	}
 }
 
-// UpTo waits for a random time below most, so that those who start at the same
-// moment do not all come back at once.
-func UpTo(ctx context.Context, most time.Duration) error {
-	return For(ctx, rand.N(most))
+// UpTo waits as [For] does, for a random duration in [0, limit), so that retries
+// that start simultaneously are spread out. It panics if limit is not positive.
+func UpTo(ctx context.Context, limit time.Duration) error {
+	return For(ctx, rand.N(limit))
 }
