--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -120,7 +120,7 @@
 
 	// Claim is the state of one key as this caller last wrote or read it.
 	Claim struct {
-		register *Registry
+		registry *Registry
 		key      string
 		row      row
 		version  uint64
@@ -195,7 +195,7 @@
 	if err := CheckKey(key, r.now()); err != nil {
 		return Claim{}, err
 	}
-	c := Claim{register: r, key: workspace + "/" + key, row: row{State: Sent, Token: r.token()}}
+	c := Claim{registry: r, key: workspace + "/" + key, row: row{State: Sent, Token: r.token()}}
 	b, err := json.Marshal(c.row)
 	if err != nil {
 		return Claim{}, errors.Wrap(err, "encode claim")
@@ -254,7 +254,7 @@
 // Lookup returns the recorded claim on a key, and false if there is no row or
 // the read fails.
 func (r *Registry) Lookup(ctx context.Context, workspace, key string) (Claim, bool) {
-	return r.readBack(ctx, Claim{register: r, key: workspace + "/" + key})
+	return r.readBack(ctx, Claim{registry: r, key: workspace + "/" + key})
 }
 
 // State returns the state of the row.
@@ -300,7 +300,7 @@
 		return errors.Wrap(err, "encode claim")
 	}
 	for range maxAttempts {
-		got, version, err := c.register.fetch(ctx, c.key)
+		got, version, err := c.registry.fetch(ctx, c.key)
 		if err != nil {
 			return err
 		}
@@ -309,7 +309,7 @@
 		}
 		// An open row is rewritten to change its version, since a delayed
 		// write of this claim may have that version as its condition.
-		res, _ := c.register.write(ctx, store.Write{Table: Table, Key: c.key, Value: b, Expect: version, TTL: RowLifetime})
+		res, _ := c.registry.write(ctx, store.Write{Table: Table, Key: c.key, Value: b, Expect: version, TTL: RowLifetime})
 		switch res {
 		case Written:
 			return nil
@@ -334,7 +334,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		res, _ := c.register.write(ctx, w)
+		res, _ := c.registry.write(ctx, w)
 		if res == Written {
 			return nil
 		}
@@ -342,7 +342,7 @@
 			_ = pause.UpTo(ctx, maxRefusedWait)
 			continue
 		}
-		if found, ok := c.register.readBack(ctx, c); ok && found.row.State == next.State && found.owned {
+		if found, ok := c.registry.readBack(ctx, c); ok && found.row.State == next.State && found.owned {
 			return nil
 		}
 	}
