--- a/daemon/upkeep/templates_test.go
+++ b/daemon/upkeep/templates_test.go
@@ -21,7 +21,7 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			log := changes.New(store.NewMemory().Store(), changes.WithReach(reach))
+			log := changes.New(store.NewMemory().Store(), changes.WithRetention(reach))
 			for i := range accepted {
 				x := template.Template{
 					Workspace: fmt.Sprint("w", i), CredentialSHA256: []string{strings.Repeat("ab", 32)},
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := log.SaveSnapshot(ctx, template.NewBook().Apply(cs[:saved])); err != nil {
+			if err := log.SaveSnapshot(ctx, template.NewSet().Apply(cs[:saved])); err != nil {
 				t.Fatal(err)
 			}
 			if n, err := log.Trim(ctx); n != saved-reach || err != nil {
