--- a/cmd/soak/caller.go
+++ b/cmd/soak/caller.go
@@ -74,7 +74,7 @@
 	// Nothing may be sent a second time by the library.
 	q.GetBody = nil
 	q.Host = callerHost
-	q.Header.Set(d.Attempt, r.attempt)
+	q.Header.Set(d.AttemptID, r.attempt)
 	q.Header.Set(d.Deadline, fmt.Sprint(deadline.Milliseconds()))
 	q.Header.Set("Authorization", d.KeyScheme+r.key)
 	r.sent = time.Now()
--- a/cmd/soak/deadly_test.go
+++ b/cmd/soak/deadly_test.go
@@ -50,7 +50,7 @@
 	r.Host = callerHost
 	d := platform.Dialect()
 	r.Header.Set("Authorization", d.KeyScheme+"key-0")
-	r.Header.Set(d.Attempt, attempt)
+	r.Header.Set(d.AttemptID, attempt)
 	r.Header.Set(d.Deadline, fmt.Sprint(deadline.Milliseconds()))
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -147,21 +147,21 @@
 		gateway.WithHall(s.Hall),
 		gateway.WithClock(e.clock),
 		gateway.WithMemory(memory.New(p.Orders, e.log, memory.WithGate(e.takesOrder))),
-		gateway.WithProof(gateway.Proof{Keys: e.keysTrusted, Config: e.configCurrent, Age: e.proofAge, Servers: e.serversAge}),
-		gateway.WithNews(n.Placed, n.Started, n.Ended),
+		gateway.WithFreshness(gateway.Freshness{KeysTrusted: e.keysTrusted, ConfigCurrent: e.configCurrent, ConfigAge: e.proofAge, ServersAge: e.serversAge}),
+		gateway.WithPlacementHooks(n.Placed, n.Started, n.Ended),
 		gateway.WithQuarantine(e.quarantine, e.suspectsChanged),
 		gateway.WithHosts(e.otherHosts),
-		gateway.WithEvidence(func(server string) { n.Failed(e.number, server) }),
+		gateway.WithServerFailureHook(func(server string) { n.Failed(e.number, server) }),
 		gateway.WithGrants(e.grants.Take),
-		gateway.WithNotices(e.notices, gateway.Tell{
-			Limit:   func(server string, l notice.Limit) { n.Limit(e.number, server, l) },
-			Leaving: func(server string) { n.Leaves(e.number, server) },
+		gateway.WithNotices(e.notices, gateway.NoticeSender{
+			SendLimit:   func(server string, l notice.Limit) { n.Limit(e.number, server, l) },
+			SendLeaving: func(server string) { n.Leaves(e.number, server) },
 		}),
 	)
 	n.OnSuspects(e.hearSuspects)
 	n.OnNotices(news.Notices{
 		Ask: e.grants.Answer, Reply: e.grants.Answered, Limit: e.hearLimit, Leaves: e.hearLeaving,
-		Placed: e.gateway.HearPlaced,
+		Placed: e.gateway.ReceivePlacement,
 	})
 	return e, nil
 }
@@ -175,7 +175,7 @@
 
 func (e *Entry) state() gateway.State {
 	s := e.watcher.State()
-	return gateway.State{Config: s.Config, Servers: s.Servers, Near: e.neighbors.Load().near}
+	return gateway.State{Config: s.Config, Servers: s.Servers, CellServers: e.neighbors.Load().near}
 }
 
 // retrySlack is this host's part of the fixed number of retries.
@@ -286,7 +286,7 @@
 		case <-tick.C:
 			e.noteSuspension()
 			e.board.Forget(e.clock.Now())
-			e.gateway.Upkeep(time.Now())
+			e.gateway.Maintain(time.Now())
 			e.noteProof()
 			e.chooseReaders(&r)
 			routes = e.routeNews(chooser, routes)
--- a/daemon/entry/notices.go
+++ b/daemon/entry/notices.go
@@ -38,7 +38,7 @@
 		e.metrics.Count("notices_of_unknown_hosts", 1)
 		return
 	}
-	e.gateway.HearLimit(strconv.FormatUint(uint64(host), 10), server, l)
+	e.gateway.ReceiveLimit(strconv.FormatUint(uint64(host), 10), server, l)
 }
 
 // hearLeaving takes in what another host tells of a server that leaves, if it is one
@@ -48,7 +48,7 @@
 		e.metrics.Count("notices_of_unknown_hosts", 1)
 		return
 	}
-	e.gateway.HearLeaving(strconv.FormatUint(uint64(host), 10), server)
+	e.gateway.ReceiveLeaving(strconv.FormatUint(uint64(host), 10), server)
 }
 
 // takesOrder reports whether a server takes an order now, by what it has said, and after
--- a/daemon/entry/suspects.go
+++ b/daemon/entry/suspects.go
@@ -49,7 +49,7 @@
 // ends, so that all of them learn only by hearing that the request is to be held:
 // whoever saw any of them stores it then.
 func (e *Entry) heard(by string, rs []quarantine.Record) {
-	if e.gateway.HearSuspects(by, rs) {
+	if e.gateway.ReceiveSuspects(by, rs) {
 		e.wakeStoring()
 	}
 }
--- a/daemon/gateway/call.go
+++ b/daemon/gateway/call.go
@@ -65,13 +65,13 @@
 		return nil, refuse(http.StatusRequestEntityTooLarge, "body_too_large", 0)
 	}
 	c := &call{
-		id:        r.Header.Get(g.dialect.Attempt),
+		id:        r.Header.Get(g.dialect.AttemptID),
 		method:    r.Method,
 		target:    r.RequestURI,
 		host:      r.Host,
 		body:      body,
 		arrived:   now,
-		lastEvent: r.Header.Get(g.dialect.LastEvent),
+		lastEvent: r.Header.Get(g.dialect.LastEventID),
 		tried:     map[string]bool{},
 	}
 	c.path, _, _ = strings.Cut(c.target, "?")
@@ -80,8 +80,8 @@
 		return c, no
 	}
 	c.mark = c.identity().HeadHash()
-	c.header = passed(r.Header, g.dialect.Private...)
-	c.work.Prompt, c.work.Answer = sizes(r.Header.Get(g.dialect.Size))
+	c.header = passed(r.Header, g.dialect.NotForwarded...)
+	c.work.Prompt, c.work.Answer = sizes(r.Header.Get(g.dialect.TokenCounts))
 	if n, err := strconv.Atoi(r.Header.Get(g.dialect.AnswerHint)); err == nil && n > 0 {
 		c.work.Answer = n
 	}
@@ -127,7 +127,7 @@
 	if !ok {
 		return g.deny(http.StatusUnauthorized, "unknown_key")
 	}
-	if c.workspace = w; !g.proof.Keys() {
+	if c.workspace = w; !g.proof.KeysTrusted() {
 		return refuse(http.StatusServiceUnavailable, "keys_unproven", staleWait)
 	}
 	return nil
@@ -135,7 +135,7 @@
 
 // deny refuses for good, unless a newer configuration may allow it.
 func (g *Gateway) deny(status int, why string) *refusal {
-	if !g.proof.Config() {
+	if !g.proof.ConfigCurrent() {
 		return refuse(http.StatusServiceUnavailable, why+"_in_old_configuration", staleWait)
 	}
 	return refuse(status, why, 0)
--- a/daemon/gateway/dialect.go
+++ b/daemon/gateway/dialect.go
@@ -10,39 +10,39 @@
 // Dialect names the headers that callers and backend servers use. The
 // platform's adapter fills it in; an empty name is a header that is not used.
 type Dialect struct {
-	// Attempt names one attempt of a caller.
-	Attempt string
+	// AttemptID names one attempt of a caller.
+	AttemptID string
 	// Deadline is how many milliseconds the caller waits.
 	Deadline string
 	// Workspace tells a backend server whose request it is.
 	Workspace string
-	// Expect names the start of a backend server that alone may run it.
-	Expect string
+	// ExpectInstance names the start of a backend server that alone may run it.
+	ExpectInstance string
 	// NotRun marks an answer to a request that has not run.
 	NotRun string
-	// LastEvent is the last event that the receiver of a stream has.
-	LastEvent string
+	// LastEventID is the last event that the receiver of a stream has.
+	LastEventID string
 	// Urgency ranks requests at a backend server, 0 first.
 	Urgency string
-	// Readers lists servers that read parts of the prompt.
-	Readers string
-	// Size has the tokens of the prompt and the most of the answer.
-	Size string
+	// Helpers lists servers that read parts of the prompt.
+	Helpers string
+	// TokenCounts has the tokens of the prompt and the most of the answer.
+	TokenCounts string
 	// AnswerHint is the caller's guess of the tokens of the answer.
 	AnswerHint string
-	// AtServer names the server at fault in answers of others.
-	AtServer string
+	// FaultyServer names the server at fault in answers of others.
+	FaultyServer string
 	// Limit is how many requests a second the server takes from all hosts together.
 	Limit string
 	// Leaving says that the server leaves.
 	Leaving string
-	// Rest is for how many seconds a server that turns a request away wants nothing from
+	// Backoff is for how many seconds a server that turns a request away wants nothing from
 	// this host.
-	Rest string
+	Backoff string
 	// KeyScheme stands before the key in Authorization, with its blank.
 	KeyScheme string
-	// Private are headers of callers that are not passed on.
-	Private []string
+	// NotForwarded are headers of callers that are not passed on.
+	NotForwarded []string
 }
 
 // hopHeaders concern one connection only (RFC 9110, section 7.6.1, and those
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -47,30 +47,30 @@
 	State struct {
 		Config  *site.Config
 		Servers *backend.View
-		// Near are the ready servers that this host uses, by service; of a
+		// CellServers are the ready servers that this host uses, by service; of a
 		// service that isn't named it uses all.
-		Near map[string][]backend.Server
+		CellServers map[string][]backend.Server
 	}
 
-	// Proof tells how far the configuration can be relied on now.
-	Proof struct {
-		// Keys reports whether callers may be served by the keys in it.
-		Keys func() bool
-		// Config reports whether no newer one is due to be in force.
-		Config func() bool
-		// Age is how long ago, at most, it was proven to be the newest; zero
+	// Freshness tells how far the configuration can be relied on now.
+	Freshness struct {
+		// KeysTrusted reports whether callers may be served by the keys in it.
+		KeysTrusted func() bool
+		// ConfigCurrent reports whether no newer one is due to be in force.
+		ConfigCurrent func() bool
+		// ConfigAge is how long ago, at most, it was proven to be the newest; zero
 		// if it never was.
-		Age func() time.Duration
-		// Servers is how long ago, at most, the list of servers was complete;
+		ConfigAge func() time.Duration
+		// ServersAge is how long ago, at most, the list of servers was complete;
 		// zero if it never was.
-		Servers func() time.Duration
+		ServersAge func() time.Duration
 	}
 
 	// Gateway is an HTTP handler. It is safe for use by many goroutines.
 	Gateway struct {
 		dialect        Dialect
 		state          func() State
-		proof          Proof
+		proof          Freshness
 		admission      admission.Policy
 		pool           *upstream.Pool
 		board          *schedule.Board
@@ -95,16 +95,16 @@
 		placed         func(schedule.Placement)
 		started, ended func(schedule.ID)
 		failed         func(server string)
-		tell           Tell
+		tell           NoticeSender
 		grant          func(ctx context.Context, s backend.Server) (bool, time.Duration)
 	}
 
-	// Tell tells other hosts what servers have said to this one.
-	Tell struct {
-		// Limit tells that a server names another limit, and Leaving that one says it
+	// NoticeSender tells other hosts what servers have said to this one.
+	NoticeSender struct {
+		// SendLimit tells that a server names another limit, and SendLeaving that one says it
 		// leaves.
-		Limit   func(server string, l notice.Limit)
-		Leaving func(server string)
+		SendLimit   func(server string, l notice.Limit)
+		SendLeaving func(server string)
 	}
 
 	// stop is a planned stop.
@@ -116,19 +116,19 @@
 	Option func(*Gateway)
 )
 
-// WithProof sets what tells how far the configuration can be relied on.
-func WithProof(p Proof) Option { return func(g *Gateway) { g.proof = p } }
+// WithFreshness sets what tells how far the configuration can be relied on.
+func WithFreshness(p Freshness) Option { return func(g *Gateway) { g.proof = p } }
 
 // WithHall sets the data hall of this host.
 func WithHall(h string) Option { return func(g *Gateway) { g.hall = h } }
 
-// WithNews sets who is told of placements, of their first tokens and ends.
-func WithNews(placed func(schedule.Placement), started, ended func(schedule.ID)) Option {
+// WithPlacementHooks sets who is told of placements, of their first tokens and ends.
+func WithPlacementHooks(placed func(schedule.Placement), started, ended func(schedule.ID)) Option {
 	return func(g *Gateway) { g.placed, g.started, g.ended = placed, started, ended }
 }
 
-// WithEvidence sets who is told of servers that fail this host.
-func WithEvidence(failed func(server string)) Option {
+// WithServerFailureHook sets who is told of servers that fail this host.
+func WithServerFailureHook(failed func(server string)) Option {
 	return func(g *Gateway) { g.failed = failed }
 }
 
@@ -139,7 +139,7 @@
 }
 
 // WithNotices sets what servers have said of themselves, and who tells others.
-func WithNotices(b *notice.Registry, t Tell) Option {
+func WithNotices(b *notice.Registry, t NoticeSender) Option {
 	return func(g *Gateway) { g.notices, g.tell = b, t }
 }
 
@@ -165,7 +165,7 @@
 	fresh := func() time.Duration { return 0 }
 	g := &Gateway{
 		dialect: d, state: state, pool: pool, board: board, budget: budget, log: log, metrics: metrics,
-		proof:     Proof{Keys: always, Config: always, Age: fresh, Servers: fresh},
+		proof:     Freshness{KeysTrusted: always, ConfigCurrent: always, ConfigAge: fresh, ServersAge: fresh},
 		admission: admission.Default(),
 		placed:    func(schedule.Placement) {},
 		started:   func(schedule.ID) {},
@@ -187,7 +187,7 @@
 	g.grant = func(_ context.Context, s backend.Server) (bool, time.Duration) {
 		return alone.Take(s.ID, g.notices.Limit(s.ID).Rate, g.clock.Now())
 	}
-	g.tell = Tell{Limit: func(string, notice.Limit) {}, Leaving: func(string) {}}
+	g.tell = NoticeSender{SendLimit: func(string, notice.Limit) {}, SendLeaving: func(string) {}}
 	for _, o := range os {
 		o(g)
 	}
@@ -308,7 +308,7 @@
 
 // ready returns the servers of a service that this host uses.
 func (s State) ready(service string) []backend.Server {
-	if near, ok := s.Near[service]; ok {
+	if near, ok := s.CellServers[service]; ok {
 		return near
 	}
 	return s.Servers.Ready(service)
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -28,9 +28,9 @@
 
 // dialect names headers as no platform does, so that the tests stand for all.
 var dialect = gateway.Dialect{
-	Attempt: "Try", Deadline: "Wait-Ms", Workspace: "Workspace", Expect: "Only", NotRun: "Not-Run",
-	LastEvent: "After-Event", Urgency: "Rank", Readers: "Readers", Size: "Size", AnswerHint: "Hint",
-	KeyScheme: "Key ", Private: []string{"Authorization", "Workspace", "Only", "Rank", "Readers", "Host", "Content-Length"},
+	AttemptID: "Try", Deadline: "Wait-Ms", Workspace: "Workspace", ExpectInstance: "Only", NotRun: "Not-Run",
+	LastEventID: "After-Event", Urgency: "Rank", Helpers: "Readers", TokenCounts: "Size", AnswerHint: "Hint",
+	KeyScheme: "Key ", NotForwarded: []string{"Authorization", "Workspace", "Only", "Rank", "Readers", "Host", "Content-Length"},
 }
 
 // engine reads a prompt of 10,000 tokens in a tenth of a second.
@@ -173,11 +173,11 @@
 	budget := limit.NewRetryWindow(10*time.Second, 0.2, func() float64 { return 10 })
 	f.board, f.metrics = schedule.NewBoard(1), telemetry.NewMetrics()
 	os := append([]gateway.Option{
-		gateway.WithProof(gateway.Proof{
-			Keys:    func() bool { return f.fresh },
-			Config:  func() bool { return f.fresh },
-			Age:     func() time.Duration { return 0 },
-			Servers: func() time.Duration { return 0 },
+		gateway.WithFreshness(gateway.Freshness{
+			KeysTrusted:   func() bool { return f.fresh },
+			ConfigCurrent: func() bool { return f.fresh },
+			ConfigAge:     func() time.Duration { return 0 },
+			ServersAge:    func() time.Duration { return 0 },
 		}),
 		gateway.WithMemory(memory.New(memory.Orders{
 			Reserve: func(context.Context, string, string, int, time.Duration) error {
--- a/daemon/gateway/log.go
+++ b/daemon/gateway/log.go
@@ -35,6 +35,6 @@
 		slog.Float64("price", p.Part.Price), slog.Bool("over_share", p.Part.Over), slog.Float64("full", p.Full),
 		slog.Float64("displaces", p.Displaces), slog.Int("lead_runs", p.LeadRuns), slog.Duration("lead_reads", p.LeadReads),
 		slog.Int("prompt", c.work.Prompt), slog.Duration("predicted", p.First),
-		slog.Int64("configuration", s.Config.Version()), slog.Duration("proof_age", g.proof.Age()),
-		slog.Duration("servers_age", g.proof.Servers()))
+		slog.Int64("configuration", s.Config.Version()), slog.Duration("proof_age", g.proof.ConfigAge()),
+		slog.Duration("servers_age", g.proof.ServersAge()))
 }
--- a/daemon/gateway/notices.go
+++ b/daemon/gateway/notices.go
@@ -37,7 +37,7 @@
 	}
 	if l, changed := g.notices.UpdateLimit(server.ID, l, c.sent, now); changed {
 		g.logLimit(byThisHost, server.ID, l)
-		g.tell.Limit(server.ID, l)
+		g.tell.SendLimit(server.ID, l)
 	}
 }
 
@@ -49,12 +49,12 @@
 	}
 	if leaves && g.notices.SetLeaving(server.ID, g.clock.Now()) {
 		g.log.Write(event.ServerSaysLeaving, slog.String("id", c.id), slog.String("server", server.ID), slog.String("by", byThisHost))
-		g.tell.Leaving(server.ID)
+		g.tell.SendLeaving(server.ID)
 	}
 }
 
 func (g *Gateway) noticeRest(c *call, server backend.Server, h http.Header) {
-	rest, err := notice.ParseBackoff(h.Get(g.dialect.Rest))
+	rest, err := notice.ParseBackoff(h.Get(g.dialect.Backoff))
 	if err != nil {
 		g.unreadable(c, server, err)
 		return
@@ -65,8 +65,8 @@
 	}
 }
 
-// HearLeaving takes in that a server has said to another host that it leaves.
-func (g *Gateway) HearLeaving(by, server string) {
+// ReceiveLeaving takes in that a server has said to another host that it leaves.
+func (g *Gateway) ReceiveLeaving(by, server string) {
 	if !g.notices.SetReportedLeaving(server, g.clock.Now()) {
 		return // each host that has such an answer tells of it
 	}
@@ -81,16 +81,16 @@
 	}
 }
 
-// HearLimit takes in what another host tells of a server.
-func (g *Gateway) HearLimit(by, server string, l notice.Limit) {
+// ReceiveLimit takes in what another host tells of a server.
+func (g *Gateway) ReceiveLimit(by, server string, l notice.Limit) {
 	if g.notices.MergeLimit(server, l, g.clock.Now()) {
 		g.logLimit(by, server, l)
 	}
 }
 
-// HearPlaced takes in that another host has sent a request to a server: if that is
+// ReceivePlacement takes in that another host has sent a request to a server: if that is
 // limited, it takes no more for a while, and it need not be asked for.
-func (g *Gateway) HearPlaced(server string) {
+func (g *Gateway) ReceivePlacement(server string) {
 	if l := g.notices.Limit(server); l.Limited {
 		g.notices.CloseUntil(server, g.clock.Now()+grant.RequestInterval(l.Rate))
 	}
--- a/daemon/gateway/refusal.go
+++ b/daemon/gateway/refusal.go
@@ -61,7 +61,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	if c != nil && c.id != "" {
-		w.Header().Set(g.dialect.Attempt, c.id)
+		w.Header().Set(g.dialect.AttemptID, c.id)
 	}
 	w.WriteHeader(no.status)
 	_, err = w.Write(b)
--- a/daemon/gateway/request.go
+++ b/daemon/gateway/request.go
@@ -32,11 +32,11 @@
 	}
 	set(g.dialect.Deadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	if lead, ok := s.Servers.Get(p.Lead); ok {
-		set(g.dialect.Expect, lead.PlatformID())
+		set(g.dialect.ExpectInstance, lead.PlatformID())
 	}
 	set(g.dialect.Workspace, c.workspace.Name)
-	set(g.dialect.LastEvent, c.lastEvent)
-	set(g.dialect.Readers, strings.Join(readers(s, p), ","))
+	set(g.dialect.LastEventID, c.lastEvent)
+	set(g.dialect.Helpers, strings.Join(readers(s, p), ","))
 	if c.work.Prompt > 0 {
 		set(g.dialect.Urgency, strconv.Itoa(urgency(c)))
 	}
@@ -46,7 +46,7 @@
 		Host:     c.host,
 		Header:   h,
 		Body:     c.body,
-		IDHeader: g.dialect.Attempt,
+		IDHeader: g.dialect.AttemptID,
 		ID:       c.id,
 
 		NewConnection: c.silent,
--- a/daemon/gateway/restarts_test.go
+++ b/daemon/gateway/restarts_test.go
@@ -29,7 +29,7 @@
 	server.ID, server.StartedMillis = "i@2", 2
 	book.Put(server, 2)
 	f.view = book.View(0)
-	f.gateway.Upkeep(time.Now())
+	f.gateway.Maintain(time.Now())
 	if a := <-got; a.status != http.StatusBadGateway || time.Since(begun) > 2*time.Second {
 		t.Errorf("status %d after %v, want 502 at once", a.status, time.Since(begun))
 	}
--- a/daemon/gateway/shares.go
+++ b/daemon/gateway/shares.go
@@ -75,10 +75,10 @@
 	}
 }
 
-// Upkeep notes which workspaces are held to their share no longer, and looks
+// Maintain notes which workspaces are held to their share no longer, and looks
 // after what is known of suspects and of servers that have started again. It is
 // called again and again.
-func (g *Gateway) Upkeep(now time.Time) {
+func (g *Gateway) Maintain(now time.Time) {
 	for _, w := range g.shares.released(now) {
 		g.log.Write(event.WorkspaceReleased, slog.String("workspace", w))
 	}
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -162,9 +162,9 @@
 	return true
 }
 
-// HearSuspects takes in what others know of requests under which servers ended,
+// ReceiveSuspects takes in what others know of requests under which servers ended,
 // with by whom it was told. It reports whether what becomes of one has changed.
-func (g *Gateway) HearSuspects(by string, rs []quarantine.Record) bool {
+func (g *Gateway) ReceiveSuspects(by string, rs []quarantine.Record) bool {
 	changed := false
 	for _, r := range rs {
 		if err := r.Validate(); err != nil {
@@ -200,7 +200,7 @@
 // checkSuspects drops what is too old, and compares ends with the platform's list.
 func (g *Gateway) checkSuspects(now time.Duration) {
 	g.suspected(byThisHost, g.quarantine.Expire(now))
-	if !g.proof.Config() {
+	if !g.proof.ConfigCurrent() {
 		return // the list may be old
 	}
 	if servers := g.state().Servers; servers != g.listed {
--- a/daemon/gateway/suspended_test.go
+++ b/daemon/gateway/suspended_test.go
@@ -28,7 +28,7 @@
 	<-reached
 	boot.Add(int64(20 * time.Second))
 	clock.Refresh()
-	f.gateway.Upkeep(time.Now())
+	f.gateway.Maintain(time.Now())
 	if a := <-got; a.status != http.StatusGatewayTimeout || time.Since(begun) > 2*time.Second {
 		t.Errorf("status %d after %v, want 504 at once", a.status, time.Since(begun))
 	}
@@ -41,7 +41,7 @@
 	clock := boottime.New(boottime.WithBoot(func() (time.Duration, error) { return time.Duration(boot.Load()), nil }))
 	f := startWith(t, []gateway.Option{
 		gateway.WithClock(clock),
-		gateway.WithNews(func(schedule.Placement) { boot.Add(int64(20 * time.Second)) }, func(schedule.ID) {}, func(schedule.ID) {}),
+		gateway.WithPlacementHooks(func(schedule.Placement) { boot.Add(int64(20 * time.Second)) }, func(schedule.ID) {}, func(schedule.ID) {}),
 	}, plain(200, "fine"))
 	if a := f.ask("POST", "/once/", "b"); a.status == http.StatusOK || f.runs() > 0 {
 		t.Errorf("status %d, and %d requests reached the server", a.status, f.runs())
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -277,7 +277,7 @@
 	return outcome{
 		result: refused,
 		why:    "refused_" + strconv.Itoa(a.Status),
-		fault:  a.Header.Get(g.dialect.AtServer),
+		fault:  a.Header.Get(g.dialect.FaultyServer),
 		answer: &whole{a.Status, a.Header, body},
 	}
 }
