--- a/daemon/gateway/admit.go
+++ b/daemon/gateway/admit.go
@@ -9,13 +9,13 @@
 	"slipcrank.example/core/site"
 )
 
-// admit refuses a call that had better not be served now, before anything of
-// it is sent. A call that has reached a server is carried on.
-func (g *Gateway) admit(c *call, p schedule.Placement) *refusal {
-	if c.attempts > 0 || c.may {
+// admit applies the admission policy to a placed call, before any of it is sent. A call
+// that has already reached a server is always continued.
+func (g *Gateway) admit(c *call, p schedule.Placement) *refusalResponse {
+	if c.attempts > 0 || c.mayHaveRun {
 		return nil
 	}
-	no, refused := g.admission.Decide(admission.Request{
+	decision, refused := g.admission.Decide(admission.Request{
 		Stream:          c.route.Kind == site.Stream,
 		TimeLeft:        time.Until(c.deadline),
 		Objective:       c.route.Objective,
@@ -31,9 +31,9 @@
 	if !refused {
 		return nil
 	}
-	if no.Reason == admission.OverShare {
-		g.holdToShare(c, p)
+	if decision.Reason == admission.OverShare {
+		g.recordOverShare(c, p)
 	}
 	g.metrics.Count("gateway_postponed", 1, "route", c.route.Name)
-	return refuse(http.StatusServiceUnavailable, string(no.Reason), no.RetryAfter)
+	return refuse(http.StatusServiceUnavailable, string(decision.Reason), decision.RetryAfter)
 }
--- a/daemon/gateway/call.go
+++ b/daemon/gateway/call.go
@@ -13,49 +13,49 @@
 	"slipcrank.example/core/site"
 )
 
-// call is one request of a caller on its way through this host.
+// call is the state of one caller's request on this host.
 type call struct {
-	id        string
-	method    string
-	target    string
-	host      string
-	path      string
-	header    http.Header
-	body      []byte
-	key       string
-	mark      quarantine.HeadHash
-	print     quarantine.Fingerprint // worked out where it is needed
-	workspace site.Workspace
-	route     site.Route
-	work      schedule.Work
-	arrived   time.Time
-	deadline  time.Time
-	due       time.Duration // the deadline on the clock that no suspension stops
-	lastEvent string        // of the caller, or the last that was passed on
+	id           string
+	method       string
+	target       string
+	host         string
+	path         string
+	header       http.Header
+	body         []byte
+	key          string
+	headHash     quarantine.HeadHash
+	fingerprint  quarantine.Fingerprint // computed on demand
+	workspace    site.Workspace
+	route        site.Route
+	work         schedule.Work
+	arrivedAt    time.Time
+	deadline     time.Time
+	bootDeadline time.Duration // the deadline by the gateway's clock, which also advances during a suspension
+	lastEventID  string        // from the caller, or of the last event that was forwarded
 
-	sent     time.Duration   // when the last try left, on that clock
-	granted  string          // the limited server that the try may be sent to
-	attempts int             // servers that it reached
-	unsent   int             // tries of which nothing left this host
-	tried    map[string]bool // servers that failed it
-	may      bool            // it may have run, or may be running
-	copied   bool            // several copies of it broke together
-	ended    bool            // a server has just ended under it
-	silent   bool            // a server fell silent on it: connections may have
-	begun    bool            // the head of an answer went to the caller
-	pause    time.Duration   // the longest between two events
-	note     string          // what went wrong last, for the log
+	sentAt        time.Duration   // right before the last try was sent, by the gateway's clock
+	grantedServer string          // the rate-limited server for which a grant was acquired
+	attempts      int             // tries that reached a server
+	unsentTries   int             // tries of which nothing left this host
+	failedServers map[string]bool // by ID
+	mayHaveRun    bool            // it may have run, or may still be running
+	copiesFailed  bool            // several copies of it have failed together
+	crashFound    bool            // a server has just crashed while running it
+	freshConn     bool            // send it on a new connection: a server was silent, so pooled ones may be dead
+	headSent      bool            // the head of an answer was sent to the caller
+	maxPause      time.Duration   // the longest time between two events
+	lastFailure   string          // reason of the last failure, for the log
 }
 
-// defaultHold is how long a request is held whose caller and route say
-// nothing.
-const defaultHold = 30 * time.Second
+// defaultTimeout is the maximum timeout of a call whose route sets none.
+const defaultTimeout = 30 * time.Second
 
-// read takes in a request. It returns a refusal if it may not go on.
-func (g *Gateway) read(r *http.Request, now time.Time) (*call, *refusal) {
+// readCall reads and authorizes a request. It returns a refusal if the request can't be
+// served.
+func (g *Gateway) readCall(r *http.Request, now time.Time) (*call, *refusalResponse) {
 	s := g.state()
 	if s.Config == nil {
-		return nil, refuse(http.StatusServiceUnavailable, "no_configuration", startWait)
+		return nil, refuse(http.StatusServiceUnavailable, "no_configuration", startupRetryAfter)
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, int64(s.Config.Limits().BodyBytes)+1))
 	if err != nil {
@@ -65,42 +65,43 @@
 		return nil, refuse(http.StatusRequestEntityTooLarge, "body_too_large", 0)
 	}
 	c := &call{
-		id:        r.Header.Get(g.dialect.AttemptID),
-		method:    r.Method,
-		target:    r.RequestURI,
-		host:      r.Host,
-		body:      body,
-		arrived:   now,
-		lastEvent: r.Header.Get(g.dialect.LastEventID),
-		tried:     map[string]bool{},
+		id:            r.Header.Get(g.dialect.AttemptID),
+		method:        r.Method,
+		target:        r.RequestURI,
+		host:          r.Host,
+		body:          body,
+		arrivedAt:     now,
+		lastEventID:   r.Header.Get(g.dialect.LastEventID),
+		failedServers: map[string]bool{},
 	}
 	c.path, _, _ = strings.Cut(c.target, "?")
 	c.key, _ = strings.CutPrefix(r.Header.Get("Authorization"), g.dialect.KeyScheme)
-	if no := g.permit(c, s); no != nil {
-		return c, no
+	if refusal := g.authorize(c, s); refusal != nil {
+		return c, refusal
 	}
-	c.mark = c.identity().HeadHash()
-	c.header = passed(r.Header, g.dialect.NotForwarded...)
-	c.work.Prompt, c.work.Answer = sizes(r.Header.Get(g.dialect.TokenCounts))
+	c.headHash = c.identity().HeadHash()
+	c.header = forwardedHeaders(r.Header, g.dialect.NotForwarded...)
+	c.work.Prompt, c.work.Answer = parseTokenCounts(r.Header.Get(g.dialect.TokenCounts))
 	if n, err := strconv.Atoi(r.Header.Get(g.dialect.AnswerHint)); err == nil && n > 0 {
 		c.work.Answer = n
 	}
-	held := hold(r.Header.Get(g.dialect.Deadline), c.route.Timeout)
-	c.deadline, c.due = now.Add(held), g.clock.Now()+held
+	timeout := callTimeout(r.Header.Get(g.dialect.Deadline), c.route.Timeout)
+	c.deadline, c.bootDeadline = now.Add(timeout), g.clock.Now()+timeout
 	return c, nil
 }
 
-// identity is what makes two attempts the same request.
+// identity returns what identifies a request: copies and repeated attempts have the
+// same identity.
 func (c *call) identity() quarantine.Request {
 	return quarantine.Request{
 		Workspace: c.workspace.Name, Key: c.key, Method: c.method, Host: c.host, Target: c.target, Body: c.body,
 	}
 }
 
-// hold is how long a request is held: what the caller waits, and the route
-// allows.
-func hold(deadline string, timeout time.Duration) time.Duration {
-	d := defaultHold
+// callTimeout returns the time until a call's deadline. The caller's deadline header, in
+// milliseconds, can only shorten the timeout of the route.
+func callTimeout(deadline string, timeout time.Duration) time.Duration {
+	d := defaultTimeout
 	if timeout > 0 {
 		d = timeout
 	}
@@ -110,10 +111,10 @@
 	return d
 }
 
-// permit finds the route and the workspace of a call in the configuration in
-// force, and refuses what it doesn't allow. It is asked again before each
-// time the call is sent, since the configuration may have changed.
-func (g *Gateway) permit(c *call, s State) *refusal {
+// authorize looks up the call's route and workspace in the configuration in force, and
+// returns a refusal if the configuration doesn't allow the call. It is repeated before
+// each send, since the configuration may have changed.
+func (g *Gateway) authorize(c *call, s State) *refusalResponse {
 	host, _, _ := strings.Cut(c.host, ":")
 	route, ok := s.Config.Route(host, c.path)
 	if !ok {
@@ -127,18 +128,19 @@
 	if !ok {
 		return g.deny(http.StatusUnauthorized, "unknown_key")
 	}
-	if c.workspace = w; !g.proof.KeysTrusted() {
-		return refuse(http.StatusServiceUnavailable, "keys_unproven", staleWait)
+	if c.workspace = w; !g.freshness.KeysTrusted() {
+		return refuse(http.StatusServiceUnavailable, "keys_unproven", otherHostRetryAfter)
 	}
 	return nil
 }
 
-// deny refuses for good, unless a newer configuration may allow it.
-func (g *Gateway) deny(status int, why string) *refusal {
-	if !g.proof.ConfigCurrent() {
-		return refuse(http.StatusServiceUnavailable, why+"_in_old_configuration", staleWait)
+// deny refuses a call permanently, or temporarily if a newer configuration might allow
+// it.
+func (g *Gateway) deny(status int, reason string) *refusalResponse {
+	if !g.freshness.ConfigCurrent() {
+		return refuse(http.StatusServiceUnavailable, reason+"_in_old_configuration", otherHostRetryAfter)
 	}
-	return refuse(status, why, 0)
+	return refuse(status, reason, 0)
 }
 
-var errForbidden = errors.New("the configuration no longer allows the request")
+var errNotAllowed = errors.New("request must not be sent any more")
--- a/daemon/gateway/dialect.go
+++ b/daemon/gateway/dialect.go
@@ -7,64 +7,69 @@
 	"strings"
 )
 
-// Dialect names the headers that callers and backend servers use. The
-// platform's adapter fills it in; an empty name is a header that is not used.
+// Dialect defines the names of the headers that callers and backend servers use. The
+// platform's adapter provides it. Headers with an empty name are not used.
 type Dialect struct {
-	// AttemptID names one attempt of a caller.
+	// AttemptID identifies one attempt of a caller.
 	AttemptID string
-	// Deadline is how many milliseconds the caller waits.
+	// Deadline is the caller's timeout in milliseconds.
 	Deadline string
-	// Workspace tells a backend server whose request it is.
+	// Workspace is the name of the request's workspace, for backend servers.
 	Workspace string
-	// ExpectInstance names the start of a backend server that alone may run it.
+	// ExpectInstance is the platform's ID of the server instance that alone may run the
+	// request.
 	ExpectInstance string
-	// NotRun marks an answer to a request that has not run.
+	// NotRun marks the answer to a request that was not run.
 	NotRun string
-	// LastEventID is the last event that the receiver of a stream has.
+	// LastEventID is the ID of the last stream event that the receiver has.
 	LastEventID string
-	// Urgency ranks requests at a backend server, 0 first.
+	// Urgency is the rank of the request at the backend server; 0 is the most urgent.
 	Urgency string
-	// Helpers lists servers that read parts of the prompt.
+	// Helpers lists the addresses of the servers that read parts of the prompt.
 	Helpers string
-	// TokenCounts has the tokens of the prompt and the most of the answer.
+	// TokenCounts is the number of prompt tokens and the maximum number of answer
+	// tokens, as "PROMPT,ANSWER".
 	TokenCounts string
-	// AnswerHint is the caller's guess of the tokens of the answer.
+	// AnswerHint is the caller's estimate of the number of answer tokens.
 	AnswerHint string
-	// FaultyServer names the server at fault in answers of others.
+	// FaultyServer is, in an answer, the ID or address of another server that caused
+	// the failure.
 	FaultyServer string
-	// Limit is how many requests a second the server takes from all hosts together.
+	// Limit is the number of requests per second that the server accepts from all hosts
+	// together.
 	Limit string
-	// Leaving says that the server leaves.
+	// Leaving reports that the server is about to shut down.
 	Leaving string
-	// Backoff is for how many seconds a server that turns a request away wants nothing from
-	// this host.
+	// Backoff is the number of seconds for which a server that refuses a request wants
+	// no requests from this host.
 	Backoff string
-	// KeyScheme stands before the key in Authorization, with its blank.
+	// KeyScheme is the prefix of the key in the Authorization header, including the
+	// space.
 	KeyScheme string
-	// NotForwarded are headers of callers that are not passed on.
+	// NotForwarded lists the request headers that are not forwarded to servers.
 	NotForwarded []string
 }
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1, and those
-// that older programs send).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1, and those that
+// older programs send).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// passed returns a copy of h without what concerns one connection only and
-// without the named ones.
-func passed(h http.Header, without ...string) http.Header {
+// forwardedHeaders returns a copy of h without hop-by-hop headers and the excluded
+// headers.
+func forwardedHeaders(h http.Header, exclude ...string) http.Header {
 	out := h.Clone()
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
-	for _, name := range without {
+	for _, name := range exclude {
 		if name != "" {
 			out.Del(name)
 		}
@@ -72,8 +77,9 @@
 	return out
 }
 
-// sizes reads "PROMPT,ANSWER" in tokens.
-func sizes(v string) (prompt, answer int) {
+// parseTokenCounts parses a [Dialect.TokenCounts] header; a number that can't be parsed
+// counts as 0.
+func parseTokenCounts(v string) (prompt, answer int) {
 	p, a, _ := strings.Cut(v, ",")
 	prompt, _ = strconv.Atoi(strings.TrimSpace(p))
 	answer, _ = strconv.Atoi(strings.TrimSpace(a))
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -1,12 +1,12 @@
-// Package gateway answers callers: it finds the route of each request, checks
-// its key, has it placed on a backend server and passes the answer back.
+// Package gateway serves callers' requests: it finds the route of a request, checks its
+// key, places it on a backend server and forwards the answer.
 //
-// It tells callers the truth about what has happened. A status of 408, 421,
-// 429 or 503 says that the request has not run and won't; anything that may
-// have run ends otherwise. A request that may run only once is sent once; one
-// that may run again is tried elsewhere while the route's attempts, the retry
-// budget and its time last. A stream that breaks goes on at another server
-// after the last whole event, within the same answer.
+// The status of an answer never claims that a request was not run if it may have been.
+// The statuses 408, 421, 429 and 503 mean that the request was not run and won't be;
+// a request that may have run gets another one. A request that may run only once is sent
+// once. A request that may be repeated is tried on other servers, as long as the route's
+// attempts, the retry budget and the time until its deadline allow. A stream that breaks
+// is resumed at another server after the last complete event, within the same answer.
 //
 // # Usage
 //
@@ -42,321 +42,327 @@
 )
 
 type (
-	// State is what the gateway decides by: a configuration and the backend
-	// servers.
+	// State is the configuration and the server list that requests are served by.
 	State struct {
 		Config  *site.Config
 		Servers *backend.View
-		// CellServers are the ready servers that this host uses, by service; of a
-		// service that isn't named it uses all.
+		// CellServers are the ready servers that this host uses, by service. Of a
+		// service that isn't a key, this host uses all ready servers.
 		CellServers map[string][]backend.Server
 	}
 
-	// Freshness tells how far the configuration can be relied on now.
+	// Freshness reports how current the configuration and the server list are.
 	Freshness struct {
-		// KeysTrusted reports whether callers may be served by the keys in it.
+		// KeysTrusted reports whether callers may be served by the configuration's keys.
 		KeysTrusted func() bool
-		// ConfigCurrent reports whether no newer one is due to be in force.
+		// ConfigCurrent reports whether no newer configuration should be in force by now.
 		ConfigCurrent func() bool
-		// ConfigAge is how long ago, at most, it was proven to be the newest; zero
-		// if it never was.
+		// ConfigAge returns an upper bound on the time since the configuration was last
+		// proven to be the newest; 0 if it never was.
 		ConfigAge func() time.Duration
-		// ServersAge is how long ago, at most, the list of servers was complete;
-		// zero if it never was.
+		// ServersAge returns an upper bound on the time since the server list was
+		// complete; 0 if it never was.
 		ServersAge func() time.Duration
 	}
 
-	// Gateway is an HTTP handler. It is safe for use by many goroutines.
+	// Gateway is an HTTP handler. It is safe for concurrent use.
 	Gateway struct {
-		dialect        Dialect
-		state          func() State
-		proof          Freshness
-		admission      admission.Policy
-		pool           *upstream.Pool
-		board          *schedule.Board
-		budget         *limit.RetryWindow
-		log            *decision.Log
-		metrics        *telemetry.Metrics
-		hall           string
-		clock          *boottime.Clock
-		stop           atomic.Pointer[stop]
-		active         atomic.Int64
-		memory         *memory.Keeper // nil if none can be set aside
-		shares         *shares
-		exchanges      *exchanges
-		quarantine     *quarantine.Registry
-		notices        *notice.Registry
-		roster         *quarantine.Roster // upkeep's, of the servers listed
-		listed         *backend.View
-		looks          *looks
-		hosts          func() []quarantine.Host // others, by the platform
-		probes         singleflight.Group       // of servers, by address
-		suspects       func()
-		placed         func(schedule.Placement)
-		started, ended func(schedule.ID)
-		failed         func(server string)
-		tell           NoticeSender
-		grant          func(ctx context.Context, s backend.Server) (bool, time.Duration)
+		dialect            Dialect
+		state              func() State
+		freshness          Freshness
+		admission          admission.Policy
+		pool               *upstream.Pool
+		board              *schedule.Board
+		budget             *limit.RetryWindow
+		log                *decision.Log
+		metrics            *telemetry.Metrics
+		hall               string
+		clock              *boottime.Clock
+		drain              atomic.Pointer[drain]
+		active             atomic.Int64
+		memory             *memory.Keeper // nil: no memory can be reserved
+		shareRefusals      *shareRefusals
+		exchanges          *exchanges
+		quarantine         *quarantine.Registry
+		notices            *notice.Registry
+		roster             *quarantine.Roster // used by Maintain only, like rosterView
+		rosterView         *backend.View
+		crashProbes        *probeTimes
+		otherHosts         func() []quarantine.Host // as listed by the platform
+		probes             singleflight.Group       // by server address
+		suspectsChanged    func()
+		onPlaced           func(schedule.Placement)
+		onStarted, onEnded func(schedule.ID)
+		onServerFailure    func(server string)
+		noticeSender       NoticeSender
+		takeGrant          func(ctx context.Context, s backend.Server) (bool, time.Duration)
 	}
 
-	// NoticeSender tells other hosts what servers have said to this one.
+	// NoticeSender sends what backend servers have reported about themselves to other
+	// hosts.
 	NoticeSender struct {
-		// SendLimit tells that a server names another limit, and SendLeaving that one says it
-		// leaves.
+		// SendLimit sends the changed limit of a server, and SendLeaving that a server
+		// is leaving.
 		SendLimit   func(server string, l notice.Limit)
 		SendLeaving func(server string)
 	}
 
-	// stop is a planned stop.
-	stop struct {
-		notice, end time.Time
+	// drain is a planned shutdown: requests that may not finish before end are refused
+	// from refuseFrom on.
+	drain struct {
+		refuseFrom, end time.Time
 	}
 
-	// Option changes a gateway under construction.
+	// Option configures a Gateway.
 	Option func(*Gateway)
 )
 
-// WithFreshness sets what tells how far the configuration can be relied on.
-func WithFreshness(p Freshness) Option { return func(g *Gateway) { g.proof = p } }
+// WithFreshness sets how the age of the configuration and of the server list is
+// determined. Without it, both always count as current.
+func WithFreshness(f Freshness) Option { return func(g *Gateway) { g.freshness = f } }
 
 // WithHall sets the data hall of this host.
 func WithHall(h string) Option { return func(g *Gateway) { g.hall = h } }
 
-// WithPlacementHooks sets who is told of placements, of their first tokens and ends.
+// WithPlacementHooks sets functions that are called when a call is placed, when its
+// first event arrives, and when the placement ends.
 func WithPlacementHooks(placed func(schedule.Placement), started, ended func(schedule.ID)) Option {
-	return func(g *Gateway) { g.placed, g.started, g.ended = placed, started, ended }
+	return func(g *Gateway) { g.onPlaced, g.onStarted, g.onEnded = placed, started, ended }
 }
 
-// WithServerFailureHook sets who is told of servers that fail this host.
+// WithServerFailureHook sets a function that is called when this host starts to avoid a
+// server because of failures.
 func WithServerFailureHook(failed func(server string)) Option {
-	return func(g *Gateway) { g.failed = failed }
+	return func(g *Gateway) { g.onServerFailure = failed }
 }
 
-// WithQuarantine sets what is known of requests under which servers ended, and who
-// is told that this host knows more.
-func WithQuarantine(b *quarantine.Registry, changed func()) Option {
-	return func(g *Gateway) { g.quarantine, g.suspects = b, changed }
+// WithQuarantine sets the registry of requests that were running when servers crashed,
+// and a function that is called when this host has changed it.
+func WithQuarantine(r *quarantine.Registry, changed func()) Option {
+	return func(g *Gateway) { g.quarantine, g.suspectsChanged = r, changed }
 }
 
-// WithNotices sets what servers have said of themselves, and who tells others.
-func WithNotices(b *notice.Registry, t NoticeSender) Option {
-	return func(g *Gateway) { g.notices, g.tell = b, t }
+// WithNotices sets the registry of what servers report about themselves, and the sender
+// that forwards changes to other hosts.
+func WithNotices(r *notice.Registry, s NoticeSender) Option {
+	return func(g *Gateway) { g.notices, g.noticeSender = r, s }
 }
 
-// WithGrants sets who grants the requests of servers that name a limit. If a server takes
-// none now, it reports false and after how long the server does. A gateway without it
-// grants all of them itself.
+// WithGrants sets the function that requests grants for rate-limited servers. If it
+// returns false, the server accepts no request now, but is expected to after the
+// returned time. Without this option the gateway grants by itself, from local buckets.
 func WithGrants(f func(ctx context.Context, s backend.Server) (bool, time.Duration)) Option {
-	return func(g *Gateway) { g.grant = f }
+	return func(g *Gateway) { g.takeGrant = f }
 }
 
-// WithClock sets the clock by which all is timed that may not outlive a suspension
-// of the machine.
+// WithClock sets the clock for deadlines and expiry times. It also advances while the
+// host is suspended.
 func WithClock(c *boottime.Clock) Option { return func(g *Gateway) { g.clock = c } }
 
-// WithMemory sets what sets memory of backend servers aside.
+// WithMemory sets what reserves memory on backend servers.
 func WithMemory(k *memory.Keeper) Option { return func(g *Gateway) { g.memory = k } }
 
-// New returns a gateway.
+// New returns a gateway that places requests with board, sends them through pool, and
+// limits retries by budget.
 func New(d Dialect, state func() State, pool *upstream.Pool, board *schedule.Board, budget *limit.RetryWindow,
-	log *decision.Log, metrics *telemetry.Metrics, os ...Option,
+	log *decision.Log, metrics *telemetry.Metrics, opts ...Option,
 ) *Gateway {
 	always := func() bool { return true }
-	fresh := func() time.Duration { return 0 }
+	zeroAge := func() time.Duration { return 0 }
 	g := &Gateway{
 		dialect: d, state: state, pool: pool, board: board, budget: budget, log: log, metrics: metrics,
-		proof:     Freshness{KeysTrusted: always, ConfigCurrent: always, ConfigAge: fresh, ServersAge: fresh},
-		admission: admission.Default(),
-		placed:    func(schedule.Placement) {},
-		started:   func(schedule.ID) {},
-		ended:     func(schedule.ID) {},
-		failed:    func(string) {},
-
-		exchanges:  newExchanges(),
-		quarantine: quarantine.NewRegistry(),
-		notices:    notice.NewRegistry(),
-		roster:     quarantine.NewRoster(),
-		looks:      newLooks(),
-		hosts:      func() []quarantine.Host { return nil },
-		suspects:   func() {},
-
-		clock:  boottime.New(),
-		shares: newShares(),
+		freshness:       Freshness{KeysTrusted: always, ConfigCurrent: always, ConfigAge: zeroAge, ServersAge: zeroAge},
+		admission:       admission.Default(),
+		onPlaced:        func(schedule.Placement) {},
+		onStarted:       func(schedule.ID) {},
+		onEnded:         func(schedule.ID) {},
+		onServerFailure: func(string) {},
+
+		exchanges:       newExchanges(),
+		quarantine:      quarantine.NewRegistry(),
+		notices:         notice.NewRegistry(),
+		roster:          quarantine.NewRoster(),
+		crashProbes:     newProbeTimes(),
+		otherHosts:      func() []quarantine.Host { return nil },
+		suspectsChanged: func() {},
+
+		clock:         boottime.New(),
+		shareRefusals: newShareRefusals(),
 	}
-	alone := grant.NewBuckets()
-	g.grant = func(_ context.Context, s backend.Server) (bool, time.Duration) {
-		return alone.Take(s.ID, g.notices.Limit(s.ID).Rate, g.clock.Now())
+	buckets := grant.NewBuckets()
+	g.takeGrant = func(_ context.Context, s backend.Server) (bool, time.Duration) {
+		return buckets.Take(s.ID, g.notices.Limit(s.ID).Rate, g.clock.Now())
 	}
-	g.tell = NoticeSender{SendLimit: func(string, notice.Limit) {}, SendLeaving: func(string) {}}
-	for _, o := range os {
+	g.noticeSender = NoticeSender{SendLimit: func(string, notice.Limit) {}, SendLeaving: func(string) {}}
+	for _, o := range opts {
 		o(g)
 	}
 	return g
 }
 
-// Drain begins a planned stop: each further answer is the last of its
-// connection. From the time notice on, requests are refused that may not end
-// before the time end.
-func (g *Gateway) Drain(notice, end time.Time) { g.stop.Store(&stop{notice, end}) }
+// Drain starts a planned shutdown: each further answer closes its connection, and from
+// refuseFrom on, requests that may not finish before end are refused.
+func (g *Gateway) Drain(refuseFrom, end time.Time) { g.drain.Store(&drain{refuseFrom, end}) }
 
-// Active returns how many requests are in progress.
+// Active returns the number of requests in progress.
 func (g *Gateway) Active() int64 { return g.active.Load() }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements [http.Handler].
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
-	if g.stop.Load() != nil {
+	if g.drain.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	now := time.Now()
-	g.boundWrites(w, now.Add(defaultHold))
-	c, no := g.read(r, now)
-	if no == nil {
-		no = g.held(c)
+	g.setWriteDeadline(w, now.Add(defaultTimeout))
+	c, refusal := g.readCall(r, now)
+	if refusal == nil {
+		refusal = g.refuseIfBlocked(c)
 	}
-	if no == nil {
-		no = g.stopping(c, now)
+	if refusal == nil {
+		refusal = g.refuseIfDraining(c, now)
 	}
-	if no != nil {
-		g.answerRefusal(w, c, no)
+	if refusal != nil {
+		g.writeRefusal(w, c, refusal)
 		return
 	}
-	g.boundWrites(w, c.deadline)
+	g.setWriteDeadline(w, c.deadline)
 	g.budget.AddRequest(c.route.Targets, now)
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	g.run(ctx, w, c)
+	g.serve(ctx, w, c)
 }
 
-// boundWrites ends writes to a caller that has not taken them in by the time
-// its answer is due: one that stops reading would hold its call for good.
-func (g *Gateway) boundWrites(w http.ResponseWriter, due time.Time) {
-	// It fails only if the caller has gone, which the next write tells.
-	_ = http.NewResponseController(w).SetWriteDeadline(due.Add(writeSlack))
+// setWriteDeadline bounds writes to the caller. Otherwise a caller that stops reading
+// would block its call forever.
+func (g *Gateway) setWriteDeadline(w http.ResponseWriter, deadline time.Time) {
+	// This fails only if the caller has disconnected, which the next write detects.
+	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(writeSlack))
 }
 
-// writeSlack is for an answer that ends a call at its deadline to be written,
-// also on a host that gets a fifth of a core.
+// writeSlack is the time after a call's deadline in which its last answer must be
+// written. It suffices on a host with a fifth of a core.
 const writeSlack = time.Second
 
-// stopping refuses a call that may not end before a planned stop does.
-func (g *Gateway) stopping(c *call, now time.Time) *refusal {
-	s := g.stop.Load()
-	if s == nil || now.Before(s.notice) {
+// refuseIfDraining refuses a call that may not finish before a planned shutdown.
+func (g *Gateway) refuseIfDraining(c *call, now time.Time) *refusalResponse {
+	d := g.drain.Load()
+	if d == nil || now.Before(d.refuseFrom) {
 		return nil
 	}
-	if c.route.Kind != site.Stream && now.Add(stopObjectives*c.route.Objective).Before(s.end) {
+	if c.route.Kind != site.Stream && now.Add(drainObjectives*c.route.Objective).Before(d.end) {
 		return nil
 	}
-	return refuse(http.StatusServiceUnavailable, "stopping", staleWait)
+	return refuse(http.StatusServiceUnavailable, "stopping", otherHostRetryAfter)
 }
 
-// stopObjectives is within how many of its objectives a plain call has ended
-// almost always.
-const stopObjectives = 4
+// drainObjectives is the number of objectives within which almost all non-stream calls
+// finish.
+const drainObjectives = 4
 
-// run tries servers until one has answered the call or it has to be given up.
-func (g *Gateway) run(ctx context.Context, w http.ResponseWriter, c *call) {
+// serve tries servers until one has answered the call or no further try is allowed.
+func (g *Gateway) serve(ctx context.Context, w http.ResponseWriter, c *call) {
 	for {
 		out := g.try(ctx, w, c)
 		if out.result == answered {
-			g.done(c, out)
+			g.logAnswered(c, out)
 			return
 		}
-		c.note = out.why
+		c.lastFailure = out.reason
 		if out.result == callerGone {
 			g.logEnd(c, "caller_gone", 0, out)
 			panic(http.ErrAbortHandler)
 		}
-		if !g.again(ctx, c, out) {
-			g.giveUp(w, c, out)
+		if !g.mayRetry(ctx, c, out) {
+			g.finishFailed(w, c, out)
 			return
 		}
-		g.log.Write(event.RequestRetried, slog.String("id", c.id), slog.String("same", c.mark.String()), slog.String("why", out.why),
+		g.log.Write(event.RequestRetried, slog.String("id", c.id), slog.String("same", c.headHash.String()), slog.String("why", out.reason),
 			slog.String("server", out.server), slog.Int("attempts", c.attempts))
-		g.metrics.Count("gateway_retries", 1, "why", out.why)
+		g.metrics.Count("gateway_retries", 1, "why", out.reason)
 	}
 }
 
-// again decides whether a failed try may be followed by another.
-func (g *Gateway) again(ctx context.Context, c *call, out outcome) bool {
+// mayRetry reports whether a failed try may be followed by another, and spends from the
+// retry budget if needed.
+func (g *Gateway) mayRetry(ctx context.Context, c *call, out outcome) bool {
 	if ctx.Err() != nil || out.result == final {
 		return false
 	}
-	if c.may && !c.route.Resumable() || c.begun && !(c.route.Kind == site.Stream && c.route.Resume) {
+	if c.mayHaveRun && !c.route.Resumable() || c.headSent && !(c.route.Kind == site.Stream && c.route.Resume) {
 		return false
 	}
 	if out.result == unsent {
-		c.unsent++
-		return c.unsent <= maxUnsent
+		c.unsentTries++
+		return c.unsentTries <= maxUnsentTries
 	}
 	if c.attempts >= max(c.route.Attempts, 1) {
-		c.note += ",attempts_used"
+		c.lastFailure += ",attempts_used"
 		return false
 	}
 	if !g.budget.Spend(out.service, time.Now()) {
-		c.note += ",retry_budget_used"
+		c.lastFailure += ",retry_budget_used"
 		return false
 	}
 	return true
 }
 
-// maxUnsent bounds how often nothing leaves for a server, since it can't be
-// reached or has no memory; each time may take the dial timeout.
-const maxUnsent = 4
+// maxUnsentTries bounds the tries of a call of which nothing was sent, because the
+// server can't be reached or has no memory. Each may take the dial timeout.
+const maxUnsentTries = 4
 
-// ready returns the servers of a service that this host uses.
-func (s State) ready(service string) []backend.Server {
-	if near, ok := s.CellServers[service]; ok {
-		return near
+// usableServers returns the ready servers of a service that this host uses.
+func (s State) usableServers(service string) []backend.Server {
+	if servers, ok := s.CellServers[service]; ok {
+		return servers
 	}
 	return s.Servers.Ready(service)
 }
 
-// place chooses servers for a call, of a workspace that is confined to one of them or
-// not.
-func (g *Gateway) place(c *call, s State, stage quarantine.Stage, confined bool) (schedule.Placement, site.Service, *refusal) {
+// place chooses servers for a call and registers the placement. The calls of a confined
+// workspace are isolated on a single server.
+func (g *Gateway) place(c *call, s State, stage quarantine.Stage, confined bool) (schedule.Placement, site.Service, *refusalResponse) {
 	service, ok := s.Config.Service(c.route.Pick(rand.Float64()))
 	if !ok {
-		return schedule.Placement{}, service, refuse(http.StatusServiceUnavailable, "no_server", busyWait)
+		return schedule.Placement{}, service, refuse(http.StatusServiceUnavailable, "no_server", busyRetryAfter)
 	}
-	mark := uint64(c.mark)
+	affinity := uint64(c.headHash)
 	if confined && stage < quarantine.Serialized {
-		mark = uint64(quarantine.WorkspaceHash(c.workspace.Name))
+		affinity = uint64(quarantine.WorkspaceHash(c.workspace.Name))
 	}
-	ready := s.ready(service.Name)
-	open, _ := g.notices.Available(ready, g.clock.Now())
-	p, ok := g.board.Place(g.clock.Now(), service, open, schedule.Request{
+	ready := s.usableServers(service.Name)
+	available, _ := g.notices.Available(ready, g.clock.Now())
+	p, ok := g.board.Place(g.clock.Now(), service, available, schedule.Request{
 		Work:      c.work,
-		Objective: c.route.Objective - time.Since(c.arrived),
+		Objective: c.route.Objective - time.Since(c.arrivedAt),
 		Gap:       c.route.Gap,
 		Workspace: schedule.WorkspaceOf(c.workspace.Name),
 		Hall:      g.hall,
-		Avoid:     c.tried,
-		LeadOnly:  g.notices.LimitedServers(open),
-		Mark:      mark,
+		Avoid:     c.failedServers,
+		LeadOnly:  g.notices.LimitedServers(available),
+		Mark:      affinity,
 		Apart:     confined || stage >= quarantine.Suspect,
 		Single:    stage >= quarantine.Serialized,
-		Copied:    confined || c.copied,
+		Copied:    confined || c.copiesFailed,
 	})
 	if ok {
 		return p, service, nil
 	}
-	ready = untried(ready, c.tried)
+	ready = excludeFailed(ready, c.failedServers)
 	if _, wait := g.notices.Available(ready, g.clock.Now()); wait > 0 {
-		return p, service, g.shut(ready, wait)
+		return p, service, g.refuseUnavailable(ready, wait)
 	}
 	if stage >= quarantine.Serialized {
-		return p, service, refuse(http.StatusServiceUnavailable, "suspect_waits", apartWait)
+		return p, service, refuse(http.StatusServiceUnavailable, "suspect_waits", isolationRetryAfter)
 	}
-	return p, service, refuse(http.StatusServiceUnavailable, "no_server", busyWait)
+	return p, service, refuse(http.StatusServiceUnavailable, "no_server", busyRetryAfter)
 }
 
-// untried returns the servers that have not failed a call.
-func untried(servers []backend.Server, tried map[string]bool) []backend.Server {
-	if len(tried) == 0 {
+// excludeFailed returns the servers that are not in the excluded set.
+func excludeFailed(servers []backend.Server, excluded map[string]bool) []backend.Server {
+	if len(excluded) == 0 {
 		return servers
 	}
-	return slices.DeleteFunc(slices.Clone(servers), func(s backend.Server) bool { return tried[s.ID] })
+	return slices.DeleteFunc(slices.Clone(servers), func(s backend.Server) bool { return excluded[s.ID] })
 }
--- a/daemon/gateway/notices.go
+++ b/daemon/gateway/notices.go
@@ -15,142 +15,149 @@
 	"slipcrank.example/daemon/upstream"
 )
 
-// notice takes in what an answer says of the server that made it. One of another
-// server, at the address of the one that was meant, says nothing of that one.
-func (g *Gateway) notice(c *call, server backend.Server, a *upstream.Answer) {
+// applyNotices applies what an answer reports about the server that sent it. A
+// misdirected request was answered by another server at the same address, so its
+// headers don't apply to the intended one.
+func (g *Gateway) applyNotices(c *call, server backend.Server, a *upstream.Answer) {
 	if a.Status == http.StatusMisdirectedRequest {
 		return
 	}
-	g.noticeLimit(c, server, a.Header)
-	g.noticeLeaving(c, server, a.Header)
+	g.applyLimit(c, server, a.Header)
+	g.applyLeaving(c, server, a.Header)
 	if a.Status == http.StatusServiceUnavailable {
-		g.noticeRest(c, server, a.Header)
+		g.applyBackoff(c, server, a.Header)
 	}
 }
 
-func (g *Gateway) noticeLimit(c *call, server backend.Server, h http.Header) {
+func (g *Gateway) applyLimit(c *call, server backend.Server, h http.Header) {
 	now := g.clock.Now()
 	l, err := notice.ParseLimit(h.Get(g.dialect.Limit))
 	if err != nil {
-		g.unreadable(c, server, err)
+		g.logUnreadable(c, server, err)
 		return
 	}
-	if l, changed := g.notices.UpdateLimit(server.ID, l, c.sent, now); changed {
-		g.logLimit(byThisHost, server.ID, l)
-		g.tell.SendLimit(server.ID, l)
+	if l, changed := g.notices.UpdateLimit(server.ID, l, c.sentAt, now); changed {
+		g.logLimit(ownEvidence, server.ID, l)
+		g.noticeSender.SendLimit(server.ID, l)
 	}
 }
 
-func (g *Gateway) noticeLeaving(c *call, server backend.Server, h http.Header) {
-	leaves, err := notice.ParseLeaving(h.Get(g.dialect.Leaving))
+func (g *Gateway) applyLeaving(c *call, server backend.Server, h http.Header) {
+	leaving, err := notice.ParseLeaving(h.Get(g.dialect.Leaving))
 	if err != nil {
-		g.unreadable(c, server, err)
+		g.logUnreadable(c, server, err)
 		return
 	}
-	if leaves && g.notices.SetLeaving(server.ID, g.clock.Now()) {
-		g.log.Write(event.ServerSaysLeaving, slog.String("id", c.id), slog.String("server", server.ID), slog.String("by", byThisHost))
-		g.tell.SendLeaving(server.ID)
+	if leaving && g.notices.SetLeaving(server.ID, g.clock.Now()) {
+		g.log.Write(event.ServerSaysLeaving, slog.String("id", c.id), slog.String("server", server.ID), slog.String("by", ownEvidence))
+		g.noticeSender.SendLeaving(server.ID)
 	}
 }
 
-func (g *Gateway) noticeRest(c *call, server backend.Server, h http.Header) {
-	rest, err := notice.ParseBackoff(h.Get(g.dialect.Backoff))
+func (g *Gateway) applyBackoff(c *call, server backend.Server, h http.Header) {
+	backoff, err := notice.ParseBackoff(h.Get(g.dialect.Backoff))
 	if err != nil {
-		g.unreadable(c, server, err)
+		g.logUnreadable(c, server, err)
 		return
 	}
-	if now := g.clock.Now(); rest > 0 {
-		g.notices.ExtendBackoff(server.ID, now+rest, now)
-		g.log.Write(event.ServerWantsRest, slog.String("id", c.id), slog.String("server", server.ID), slog.Duration("rest", rest))
+	if now := g.clock.Now(); backoff > 0 {
+		g.notices.ExtendBackoff(server.ID, now+backoff, now)
+		g.log.Write(event.ServerWantsRest, slog.String("id", c.id), slog.String("server", server.ID), slog.Duration("rest", backoff))
 	}
 }
 
-// ReceiveLeaving takes in that a server has said to another host that it leaves.
+// ReceiveLeaving processes another host's report that a server is leaving. by
+// names that host.
 func (g *Gateway) ReceiveLeaving(by, server string) {
 	if !g.notices.SetReportedLeaving(server, g.clock.Now()) {
-		return // each host that has such an answer tells of it
+		return // each host that got such an answer reports it
 	}
 	g.log.Write(event.ServerSaysLeaving, slog.String("server", server), slog.String("by", by))
 }
 
-// unreadable notes that an answer says something of its server that can't be read. What
-// it said before holds on.
-func (g *Gateway) unreadable(c *call, server backend.Server, err error) {
+// logUnreadable logs, once for each server, that a notice in an answer can't be parsed.
+// The values reported before stay in effect.
+func (g *Gateway) logUnreadable(c *call, server backend.Server, err error) {
 	if g.notices.SetUnreadable(server.ID, g.clock.Now()) {
 		g.log.Write(event.ServerUnreadable, slog.String("id", c.id), slog.String("server", server.ID), slog.String("error", err.Error()))
 	}
 }
 
-// ReceiveLimit takes in what another host tells of a server.
+// ReceiveLimit merges a server's limit received from the host named by.
 func (g *Gateway) ReceiveLimit(by, server string, l notice.Limit) {
 	if g.notices.MergeLimit(server, l, g.clock.Now()) {
 		g.logLimit(by, server, l)
 	}
 }
 
-// ReceivePlacement takes in that another host has sent a request to a server: if that is
-// limited, it takes no more for a while, and it need not be asked for.
+// ReceivePlacement records that another host has sent a request to a server. If the
+// server is rate-limited, it is closed for one request interval, so that this host
+// requests no grant that would be denied.
 func (g *Gateway) ReceivePlacement(server string) {
 	if l := g.notices.Limit(server); l.Limited {
 		g.notices.CloseUntil(server, g.clock.Now()+grant.RequestInterval(l.Rate))
 	}
 }
 
-// granted reports whether a call may be sent to the lead of its placement, by the limit
-// that this names. If it may not, it tells after how long one may.
-func (g *Gateway) granted(ctx context.Context, c *call, s State, p schedule.Placement) (time.Duration, bool) {
-	c.granted = ""
+// acquireGrant reports whether a call may be sent to the lead of its placement within
+// the lead's rate limit. If not, it returns the time until the next request may be
+// sent.
+func (g *Gateway) acquireGrant(ctx context.Context, c *call, s State, p schedule.Placement) (time.Duration, bool) {
+	c.grantedServer = ""
 	l := g.notices.Limit(p.Lead)
 	if !l.Limited {
 		return 0, true
 	}
 	server, known := s.Servers.Get(p.Lead)
 	if !known {
-		return 0, true // nothing is sent to it
+		return 0, true // checkBeforeSend rejects the call
 	}
-	ok, wait := g.grant(ctx, server)
+	ok, wait := g.takeGrant(ctx, server)
 	if ok {
-		c.granted, wait = p.Lead, grant.RequestInterval(l.Rate)
+		c.grantedServer, wait = p.Lead, grant.RequestInterval(l.Rate)
 	}
 	g.notices.CloseUntil(p.Lead, g.clock.Now()+wait)
 	g.metrics.Count("gateway_grants", 1, "granted", strconv.FormatBool(ok))
 	return wait, ok
 }
 
-// willing reports whether a call may leave for the lead of its placement, by what this
-// has said since the call was placed.
-func (g *Gateway) willing(c *call, p schedule.Placement) bool {
-	return !g.notices.Leaving(p.Lead) && g.notices.Backoff(p.Lead, g.clock.Now()) == 0 && (c.granted == p.Lead || !g.notices.Limit(p.Lead).Limited)
+// acceptsCall reports whether the lead of a placement still accepts the call, by what
+// it has reported since the call was placed.
+func (g *Gateway) acceptsCall(c *call, p schedule.Placement) bool {
+	return !g.notices.Leaving(p.Lead) && g.notices.Backoff(p.Lead, g.clock.Now()) == 0 && (c.grantedServer == p.Lead || !g.notices.Limit(p.Lead).Limited)
 }
 
-// shut refuses a call since no server of its service takes one for a time, by what they
-// have said: they have all the requests that they take, or want rest. Where limits are the
-// cause, others wait too: the caller is told the time in which all servers take one more.
-func (g *Gateway) shut(servers []backend.Server, wait time.Duration) *refusal {
+// refuseUnavailable refuses a call because no server of its service accepts requests
+// for the given time: all are at their limits or have asked for a backoff. If limits
+// are among the causes, other callers wait too, so the retry time is extended by the
+// time in which the limited servers together accept one more request.
+func (g *Gateway) refuseUnavailable(servers []backend.Server, wait time.Duration) *refusalResponse {
 	limited := g.notices.LimitedServers(servers)
 	if len(limited) == 0 {
 		return refuse(http.StatusServiceUnavailable, "servers_rest", wait)
 	}
-	var all float64
+	var totalRate float64
 	for id := range limited {
-		all += grant.GrantRate(g.notices.Limit(id).Rate)
+		totalRate += grant.GrantRate(g.notices.Limit(id).Rate)
 	}
-	return refuse(http.StatusServiceUnavailable, "server_limits", wait+time.Duration(float64(time.Second)/all))
+	return refuse(http.StatusServiceUnavailable, "server_limits", wait+time.Duration(float64(time.Second)/totalRate))
 }
 
-// maxAsks is how many limited servers are asked for in one try of a call: each takes a
-// way there and back, and who is told that one takes nothing asks no more meanwhile.
-const maxAsks = 3
+// maxGrantRequests bounds the servers for which one try requests a grant. Each request
+// takes a round trip, and a server whose grant was denied is not asked for again until
+// it is open.
+const maxGrantRequests = 3
 
-// logLimit writes the limit that holds for a server now, with who saw it.
+// logLimit logs and counts a new limit of a server. by names the host that has learned of
+// it, or is ownEvidence.
 func (g *Gateway) logLimit(by, server string, l notice.Limit) {
-	g.metrics.Count("gateway_server_limits", 1, "own", strconv.FormatBool(by == byThisHost))
+	g.metrics.Count("gateway_server_limits", 1, "own", strconv.FormatBool(by == ownEvidence))
 	g.log.Write(event.ServerLimit, slog.String("server", server), slog.Bool("limited", l.Limited),
 		slog.Float64("rate", l.Rate), slog.Uint64("version", l.Version), slog.String("by", by))
 }
 
-// forgetNotices drops what servers have said that are gone.
-func (g *Gateway) forgetNotices(now time.Duration) {
+// pruneNotices drops the notices of servers that no longer exist.
+func (g *Gateway) pruneNotices(now time.Duration) {
 	servers := g.state().Servers
 	g.notices.Prune(func(id string) bool { _, ok := servers.Get(id); return ok }, now)
 }
--- a/daemon/gateway/refusal.go
+++ b/daemon/gateway/refusal.go
@@ -11,28 +11,29 @@
 	"slipcrank.example/daemon/event"
 )
 
-// When callers may come back.
+// Retry-After times of refusals.
 const (
-	// startWait is about how long a daemon needs for its first
+	// startupRetryAfter is about how long a daemon needs to receive its first
 	// configuration.
-	startWait = 300 * time.Millisecond
-	// staleWait sends a caller to another host at once: each has its own way
-	// to the platform.
-	staleWait = 100 * time.Millisecond
-	// busyWait is about two passes of an engine.
-	busyWait = 150 * time.Millisecond
-	// memoryWait is about how long a large prompt keeps its memory.
-	memoryWait = 1500 * time.Millisecond
-	// spread is the part of a wait by which callers are spread.
-	spread = 0.5
+	startupRetryAfter = 300 * time.Millisecond
+	// otherHostRetryAfter makes a caller try another host at once. Each host has its
+	// own connection to the platform, so another one may be able to serve the call.
+	otherHostRetryAfter = 100 * time.Millisecond
+	// busyRetryAfter is about two passes of an engine.
+	busyRetryAfter = 150 * time.Millisecond
+	// memoryRetryAfter is about how long a large prompt occupies its memory.
+	memoryRetryAfter = 1500 * time.Millisecond
+	// retryAfterJitter is the maximum random extension of a Retry-After time, as a
+	// fraction of it. It keeps callers from returning at the same time.
+	retryAfterJitter = 0.5
 )
 
 type (
-	// refusal is an answer of ours.
-	refusal struct {
-		status int
-		why    string
-		after  time.Duration // zero: don't come back for it
+	// refusalResponse is an answer that the gateway generates instead of a server.
+	refusalResponse struct {
+		status     int
+		reason     string
+		retryAfter time.Duration // 0: no Retry-After header
 	}
 
 	refusalBody struct {
@@ -44,34 +45,34 @@
 	}
 )
 
-func refuse(status int, why string, after time.Duration) *refusal {
-	return &refusal{status: status, why: why, after: after}
+func refuse(status int, reason string, retryAfter time.Duration) *refusalResponse {
+	return &refusalResponse{status: status, reason: reason, retryAfter: retryAfter}
 }
 
-// answerRefusal sends a refusal. c may be nil if the request wasn't read.
-func (g *Gateway) answerRefusal(w http.ResponseWriter, c *call, no *refusal) {
-	if no.after > 0 {
-		s := no.after.Seconds() * (1 + spread*rand.Float64())
+// writeRefusal sends and logs a refusal. c may be nil if the request could not be read.
+func (g *Gateway) writeRefusal(w http.ResponseWriter, c *call, refusal *refusalResponse) {
+	if refusal.retryAfter > 0 {
+		s := refusal.retryAfter.Seconds() * (1 + retryAfterJitter*rand.Float64())
 		w.Header().Set("Retry-After", strconv.FormatFloat(s, 'f', 3, 64))
 	}
-	b, err := json.Marshal(refusalBody{refusalError{no.why}})
+	b, err := json.Marshal(refusalBody{refusalError{refusal.reason}})
 	if err != nil {
-		b = nil // a struct of one text always encodes
+		b = nil // can't happen: the body is a struct with one string
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	if c != nil && c.id != "" {
 		w.Header().Set(g.dialect.AttemptID, c.id)
 	}
-	w.WriteHeader(no.status)
+	w.WriteHeader(refusal.status)
 	_, err = w.Write(b)
-	g.metrics.Count("gateway_refusals", 1, "why", no.why, "status", strconv.Itoa(no.status))
-	attrs := []slog.Attr{slog.String("why", no.why), slog.Int("status", no.status)}
+	g.metrics.Count("gateway_refusals", 1, "why", refusal.reason, "status", strconv.Itoa(refusal.status))
+	attrs := []slog.Attr{slog.String("why", refusal.reason), slog.Int("status", refusal.status)}
 	if c != nil {
-		attrs = append(attrs, slog.String("id", c.id), slog.String("same", c.mark.String()), slog.String("route", c.route.Name),
+		attrs = append(attrs, slog.String("id", c.id), slog.String("same", c.headHash.String()), slog.String("route", c.route.Name),
 			slog.String("workspace", c.workspace.Name),
-			slog.Int("attempts", c.attempts), slog.Bool("may_have_run", c.may),
-			slog.Duration("held", time.Since(c.arrived)))
+			slog.Int("attempts", c.attempts), slog.Bool("may_have_run", c.mayHaveRun),
+			slog.Duration("held", time.Since(c.arrivedAt)))
 	}
 	if err != nil {
 		attrs = append(attrs, slog.String("write_error", err.Error()))
@@ -79,29 +80,30 @@
 	g.log.Write(event.RequestRefused, attrs...)
 }
 
-// giveUp ends a call that no server has answered.
-func (g *Gateway) giveUp(w http.ResponseWriter, c *call, out outcome) {
-	if c.begun {
+// finishFailed answers a call that no server has answered. A status that means that the
+// request was not run is used only if that is certain.
+func (g *Gateway) finishFailed(w http.ResponseWriter, c *call, out outcome) {
+	if c.headSent {
 		g.logEnd(c, "stream_broken", 0, out)
-		panic(http.ErrAbortHandler) // the caller sees that the answer is cut
+		panic(http.ErrAbortHandler) // the caller sees that the answer is truncated
 	}
-	late := g.clock.Now() >= c.due
+	overdue := g.clock.Now() >= c.bootDeadline
 	switch {
-	case out.no != nil && (!c.may || !promises(out.no.status)):
-		g.answerRefusal(w, c, out.no)
-	case !c.may:
-		g.answerRefusal(w, c, refuse(http.StatusServiceUnavailable, c.note, busyWait))
-	case out.answer != nil && !promises(out.answer.status):
-		g.pass(w, c, out)
-	case late:
-		g.answerRefusal(w, c, refuse(http.StatusGatewayTimeout, c.note, 0))
+	case out.refusal != nil && (!c.mayHaveRun || !meansNotRun(out.refusal.status)):
+		g.writeRefusal(w, c, out.refusal)
+	case !c.mayHaveRun:
+		g.writeRefusal(w, c, refuse(http.StatusServiceUnavailable, c.lastFailure, busyRetryAfter))
+	case out.answer != nil && !meansNotRun(out.answer.status):
+		g.forwardAnswer(w, c, out)
+	case overdue:
+		g.writeRefusal(w, c, refuse(http.StatusGatewayTimeout, c.lastFailure, 0))
 	default:
-		g.answerRefusal(w, c, refuse(http.StatusBadGateway, c.note, 0))
+		g.writeRefusal(w, c, refuse(http.StatusBadGateway, c.lastFailure, 0))
 	}
 }
 
-// promises reports whether a status says that the request has not run.
-func promises(status int) bool {
+// meansNotRun reports whether a status tells the caller that the request was not run.
+func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/daemon/gateway/request.go
+++ b/daemon/gateway/request.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// counterObjective is the longest objective of requests whose callers
-	// wait at a counter.
-	counterObjective = time.Second
-	// patientRanks is how many ranks the others stand behind them: the
-	// operators' priorities are 0 to 2.
-	patientRanks = 3
-	// leastUrgent is the last rank that engines know.
-	leastUrgent = 9
+	// maxInteractiveObjective is the maximum objective of interactive requests: those
+	// whose callers wait at a counter.
+	maxInteractiveObjective = time.Second
+	// nonInteractiveOffset is added to the rank of all other requests. Operators'
+	// priorities range from 0 to 2, so interactive requests always rank first.
+	nonInteractiveOffset = 3
+	// maxUrgency is the last rank that engines support.
+	maxUrgency = 9
 )
 
-// request makes what is sent to the lead of a placement.
-func (g *Gateway) request(c *call, s State, p schedule.Placement) upstream.Request {
+// buildRequest builds the request that is sent to the lead of a placement.
+func (g *Gateway) buildRequest(c *call, s State, p schedule.Placement) upstream.Request {
 	h := c.header.Clone()
 	left := time.Until(c.deadline)
 	set := func(name, value string) {
@@ -35,8 +35,8 @@
 		set(g.dialect.ExpectInstance, lead.PlatformID())
 	}
 	set(g.dialect.Workspace, c.workspace.Name)
-	set(g.dialect.LastEventID, c.lastEvent)
-	set(g.dialect.Helpers, strings.Join(readers(s, p), ","))
+	set(g.dialect.LastEventID, c.lastEventID)
+	set(g.dialect.Helpers, strings.Join(helperAddrs(s, p), ","))
 	if c.work.Prompt > 0 {
 		set(g.dialect.Urgency, strconv.Itoa(urgency(c)))
 	}
@@ -49,51 +49,52 @@
 		IDHeader: g.dialect.AttemptID,
 		ID:       c.id,
 
-		NewConnection: c.silent,
-		Allowed:       func() error { return g.allowed(c, p) },
+		NewConnection: c.freshConn,
+		Allowed:       func() error { return g.checkBeforeSend(c, p) },
 	}
 }
 
-// allowed is asked last before a request leaves this host.
-func (g *Gateway) allowed(c *call, p schedule.Placement) error {
-	g.clock.Refresh() // the machine may have been suspended since the call came
+// checkBeforeSend is called right before the first byte of a request is sent. It
+// returns an error if the request must not be sent any more.
+func (g *Gateway) checkBeforeSend(c *call, p schedule.Placement) error {
+	g.clock.Refresh() // the host may have been suspended since the call arrived
 	s := g.state()
-	c.sent = g.clock.Now()
-	if c.sent >= c.due || !s.Servers.AcceptsWork(p.Lead) || !g.willing(c, p) || g.permit(c, s) != nil ||
+	c.sentAt = g.clock.Now()
+	if c.sentAt >= c.bootDeadline || !s.Servers.AcceptsWork(p.Lead) || !g.acceptsCall(c, p) || g.authorize(c, s) != nil ||
 		g.stage(c) == quarantine.Blocked {
-		return errForbidden
+		return errNotAllowed
 	}
 	return nil
 }
 
-// readers are the addresses of a placement's helpers, those with memory set
-// aside first and with its name.
-func readers(s State, p schedule.Placement) []string {
-	var first, then []string
-	holds := map[string]bool{}
-	for _, h := range p.Shares {
-		holds[h.Server] = true
-		if b, ok := s.Servers.Get(h.Server); ok {
-			first = append(first, b.Addr+"/"+ticket(p.ID))
+// helperAddrs returns the addresses of a placement's helpers. Those with reserved
+// memory come first, with the reservation ID appended.
+func helperAddrs(s State, p schedule.Placement) []string {
+	var withMemory, withoutMemory []string
+	reserved := map[string]bool{}
+	for _, share := range p.Shares {
+		reserved[share.Server] = true
+		if b, ok := s.Servers.Get(share.Server); ok {
+			withMemory = append(withMemory, b.Addr+"/"+reservationID(p.ID))
 		}
 	}
 	for _, id := range p.Helpers {
-		if b, ok := s.Servers.Get(id); ok && !holds[id] {
-			then = append(then, b.Addr)
+		if b, ok := s.Servers.Get(id); ok && !reserved[id] {
+			withoutMemory = append(withoutMemory, b.Addr)
 		}
 	}
-	return append(first, then...)
+	return append(withMemory, withoutMemory...)
 }
 
-// urgency ranks a call at an engine: short prompts, whose readers wait at a
-// counter, before long ones, and within that by the operator's priority.
+// urgency returns the rank of a call at an engine: interactive requests before others,
+// and within both groups by the operator's priority.
 func urgency(c *call) int {
 	n := c.route.Priority
 	if c.workspace.Priority >= 0 {
 		n = c.workspace.Priority
 	}
-	if c.route.Objective > counterObjective {
-		n += patientRanks
+	if c.route.Objective > maxInteractiveObjective {
+		n += nonInteractiveOffset
 	}
-	return min(n, leastUrgent)
+	return min(n, maxUrgency)
 }
--- a/daemon/gateway/restarts.go
+++ b/daemon/gateway/restarts.go
@@ -10,33 +10,34 @@
 	"slipcrank.example/core/backend"
 )
 
-// errRestarted is a server that has started again: it knows nothing of what was
-// sent to its earlier start.
-var errRestarted = errors.New("the backend server has started again")
+// errServerRestarted cancels a call whose server has restarted: the new instance
+// doesn't have the request.
+var errServerRestarted = errors.New("backend server has restarted")
 
-// errOverdue is a call whose time ran out while the machine was suspended: timers
-// stood still meanwhile.
-var errOverdue = errors.New("the machine was suspended past the call's deadline")
+// errPastDeadline cancels a call whose deadline passed while the host was suspended.
+// Timers don't advance during a suspension, so the call's context doesn't expire in
+// time.
+var errPastDeadline = errors.New("host was suspended past the call's deadline")
 
-// exchanges are the calls that servers are at work on. It is safe for use by many
-// goroutines.
+// exchanges tracks the calls that are in progress at servers. It is safe for concurrent
+// use.
 type exchanges struct {
 	mu   sync.Mutex
 	open map[*exchange]bool
 }
 
-// exchange is one call at a server.
+// exchange is one call in progress at a server.
 type exchange struct {
-	server backend.Server
-	due    time.Duration
-	cancel context.CancelCauseFunc
+	server       backend.Server
+	bootDeadline time.Duration
+	cancel       context.CancelCauseFunc
 }
 
 func newExchanges() *exchanges { return &exchanges{open: map[*exchange]bool{}} }
 
-// begin notes a call at a server. The returned function ends it.
-func (x *exchanges) begin(s backend.Server, due time.Duration, cancel context.CancelCauseFunc) func() {
-	e := &exchange{s, due, cancel}
+// add registers a call. The returned function removes it.
+func (x *exchanges) add(s backend.Server, bootDeadline time.Duration, cancel context.CancelCauseFunc) func() {
+	e := &exchange{s, bootDeadline, cancel}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.open[e] = true
@@ -47,20 +48,20 @@
 	}
 }
 
-// giveUp ends the calls that are overdue, and those at starts of servers that are
-// over, and returns these servers. Behind a cut no reset tells of a restart: such
-// calls would be held until their deadlines, and those that may run only once for
-// nothing.
-func (x *exchanges) giveUp(over func(backend.Server) bool, now time.Duration) []backend.Server {
+// cancelStale cancels the calls that are past their deadlines and those at server
+// instances that were replaced, and returns the latter servers. During a network
+// partition no TCP reset reports the restart of a server, so without this such calls
+// would wait until their deadlines, in vain if they may run only once.
+func (x *exchanges) cancelStale(replaced func(backend.Server) bool, now time.Duration) []backend.Server {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var servers []backend.Server
 	for e := range x.open {
-		if now >= e.due {
-			e.cancel(errOverdue)
+		if now >= e.bootDeadline {
+			e.cancel(errPastDeadline)
 		}
-		if over(e.server) {
-			e.cancel(errRestarted)
+		if replaced(e.server) {
+			e.cancel(errServerRestarted)
 			servers = append(servers, e.server)
 		}
 	}
--- a/daemon/gateway/shared_silence_test.go
+++ b/daemon/gateway/shared_silence_test.go
@@ -46,7 +46,7 @@
 				p.Shares = []schedule.Share{{Server: "t", Tokens: 1000}}
 			}
 			const silent = 3600 * time.Millisecond
-			look, more := firstLook(c, p), g.explained(c, s, p, server)
+			look, more := firstSilenceCheck(c, p), g.silenceExtension(c, s, p, server)
 			if bound := look + more(look); bound <= look || tc.gone && tc.shared && bound > silent {
 				t.Errorf("looked at after %v, the silence may last %v", look, bound)
 			}
--- a/daemon/gateway/shares.go
+++ b/daemon/gateway/shares.go
@@ -10,81 +10,82 @@
 )
 
 const (
-	// heldTime is after how long without a refusal for its share a workspace
-	// counts as held no longer: a few times what callers are told to wait.
-	heldTime = 5 * time.Second
-	// mostHeld bounds the workspaces whose holding is followed, and those that
-	// are ever named in counters: the refusals of further ones are counted
-	// together. Few workspaces crowd at a time, while a fleet has thousands.
-	mostHeld = 64
-	// otherWorkspaces names the further ones in counters.
-	otherWorkspaces = "others"
+	// overShareRetention is the time without refusals after which a workspace no longer
+	// counts as over its share. It is a few times the Retry-After of such refusals.
+	overShareRetention = 5 * time.Second
+	// maxTrackedWorkspaces bounds the workspaces that are tracked, and those that get
+	// their own metric label. Only a few workspaces are over their share at a time, but
+	// a fleet has thousands of workspaces.
+	maxTrackedWorkspaces = 64
+	// otherWorkspacesLabel is the metric label of all further workspaces.
+	otherWorkspacesLabel = "others"
 )
 
-// shares are the workspaces that this host holds to their share of engines.
-// It is safe for use by many goroutines.
-type shares struct {
-	mu    sync.Mutex
-	last  map[string]time.Time // when a request was refused for it last
-	named map[string]bool      // in counters
+// shareRefusals tracks the workspaces that are refused because they use more than their
+// share of the engines. It is safe for concurrent use.
+type shareRefusals struct {
+	mu          sync.Mutex
+	lastRefusal map[string]time.Time // by workspace
+	labels      map[string]bool      // workspaces with their own metric label
 }
 
-func newShares() *shares {
-	return &shares{last: map[string]time.Time{}, named: map[string]bool{}}
+func newShareRefusals() *shareRefusals {
+	return &shareRefusals{lastRefusal: map[string]time.Time{}, labels: map[string]bool{}}
 }
 
-// refused notes a refusal. It returns by which name it is counted, and whether
-// the workspace has been held only since now.
-func (s *shares) refused(workspace string, now time.Time) (name string, begins bool) {
+// record records a refusal. It returns the metric label of the workspace, and whether
+// this is the first refusal since the workspace was last within its share.
+func (s *shareRefusals) record(workspace string, now time.Time) (label string, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, held := s.last[workspace]
-	if held || len(s.last) < mostHeld {
-		s.last[workspace] = now
-		begins = !held
+	_, tracked := s.lastRefusal[workspace]
+	if tracked || len(s.lastRefusal) < maxTrackedWorkspaces {
+		s.lastRefusal[workspace] = now
+		first = !tracked
 	}
-	if s.named[workspace] || len(s.named) < mostHeld {
-		s.named[workspace] = true
-		return workspace, begins
+	if s.labels[workspace] || len(s.labels) < maxTrackedWorkspaces {
+		s.labels[workspace] = true
+		return workspace, first
 	}
-	return otherWorkspaces, begins
+	return otherWorkspacesLabel, first
 }
 
-// released returns the workspaces that are held no longer, and forgets them.
-func (s *shares) released(now time.Time) []string {
+// expire removes and returns the workspaces without a refusal in the last
+// overShareRetention.
+func (s *shareRefusals) expire(now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
-	for w, at := range s.last {
-		if now.Sub(at) >= heldTime {
+	for w, refusedAt := range s.lastRefusal {
+		if now.Sub(refusedAt) >= overShareRetention {
 			out = append(out, w)
-			delete(s.last, w)
+			delete(s.lastRefusal, w)
 		}
 	}
 	return out
 }
 
-// holdToShare notes that a call was refused for its workspace's share.
-func (g *Gateway) holdToShare(c *call, p schedule.Placement) {
-	name, begins := g.shares.refused(c.workspace.Name, time.Now())
-	g.metrics.Count("gateway_over_share", 1, "workspace", name)
-	if begins {
+// recordOverShare counts the refusal of a call whose workspace is over its share, and
+// logs the first in a row.
+func (g *Gateway) recordOverShare(c *call, p schedule.Placement) {
+	label, first := g.shareRefusals.record(c.workspace.Name, time.Now())
+	g.metrics.Count("gateway_over_share", 1, "workspace", label)
+	if first {
 		g.log.Write(event.WorkspaceHeld, slog.String("workspace", c.workspace.Name), slog.String("id", c.id),
 			slog.Float64("price", p.Part.Price), slog.Float64("part", p.Part.Fraction), slog.Int("workspaces", p.Part.Workspaces),
 			slog.Float64("full", p.Full))
 	}
 }
 
-// Maintain notes which workspaces are held to their share no longer, and looks
-// after what is known of suspects and of servers that have started again. It is
-// called again and again.
+// Maintain does the periodic maintenance: it expires over-share workspaces, suspects
+// and notices, and cancels calls that are stuck. It must be called regularly, and not concurrently.
 func (g *Gateway) Maintain(now time.Time) {
-	for _, w := range g.shares.released(now) {
+	for _, w := range g.shareRefusals.expire(now) {
 		g.log.Write(event.WorkspaceReleased, slog.String("workspace", w))
 	}
-	g.checkSuspects(g.clock.Now())
-	g.forgetNotices(g.clock.Now())
-	for _, s := range g.exchanges.giveUp(g.state().Servers.Replaced, g.clock.Now()) {
-		g.pool.Drop(s.Addr) // connections of the start that is over
+	g.updateSuspects(g.clock.Now())
+	g.pruneNotices(g.clock.Now())
+	for _, s := range g.exchanges.cancelStale(g.state().Servers.Replaced, g.clock.Now()) {
+		g.pool.Drop(s.Addr) // connections to the replaced instance
 	}
 }
--- a/daemon/gateway/silence.go
+++ b/daemon/gateway/silence.go
@@ -10,139 +10,147 @@
 )
 
 const (
-	// minSilence is above what passes of an engine take on a usual day;
-	// callers of short prompts leave after two seconds.
-	minSilence = 1200 * time.Millisecond
-	// silenceGaps and silenceObjectives are in units of the route's own
-	// bounds: above what a loaded server needs, below what callers endure.
-	silenceGaps       = 3
-	silenceObjectives = 4
-	// explainedPart is by how much a predicted pause may be exceeded.
-	explainedPart = 1.5
-	// servingObjectives is how much longer a server may say nothing that serves
-	// others, in objectives: a short stream is tried elsewhere before its caller
-	// leaves, a long prompt isn't read from the beginning elsewhere.
-	servingObjectives = 2
-	// sharedSilence bounds the silence on a prompt for which memory is set aside on
-	// other servers, unless the server is found to live. Should the server have gone,
-	// that memory has to be released within 4 s, by the users' rules; on a day with
-	// crashes one host waited 4.0 s and kept it for 4,033 ms.
-	sharedSilence = 3 * time.Second
-	// sharedLook lies between two looks after that, and sharedMisses in a row give
-	// the server up: on a link that loses packets one may miss a server that lives.
-	sharedLook   = 500 * time.Millisecond
-	sharedMisses = 2
+	// minSilenceTimeout exceeds the usual duration of engine passes, but leaves time
+	// for another try: callers of short prompts disconnect after two seconds.
+	minSilenceTimeout = 1200 * time.Millisecond
+	// streamSilenceGaps and plainSilenceObjectives are multiples of the route's gap and
+	// objective. They exceed what a loaded server needs, and stay below what callers
+	// tolerate.
+	streamSilenceGaps      = 3
+	plainSilenceObjectives = 4
+	// predictedPauseFactor is the factor by which a predicted pause may be exceeded.
+	predictedPauseFactor = 1.5
+	// maxServingObjectives bounds the extension, in objectives, for a server that is
+	// silent on this call but answers others. Short streams are then tried elsewhere
+	// before their callers disconnect, and long prompts are not read again from the
+	// beginning.
+	maxServingObjectives = 2
+	// sharedFirstCheck bounds the time until the first check of a server whose prompt
+	// has memory reserved on other servers. If the server is gone, that memory must be
+	// released within 4 s, as users require. On a day with server crashes, a host that
+	// waited 4.0 s kept the memory for 4,033 ms.
+	sharedFirstCheck = 3 * time.Second
+	// sharedCheckInterval is the time between further checks. After maxProbeFailures
+	// failed probes in a row the server is given up; on a link that loses packets a
+	// single probe may fail although the server is alive.
+	sharedCheckInterval = 500 * time.Millisecond
+	maxProbeFailures    = 2
 )
 
-// alarm rings when a server has said nothing for too long.
-type alarm struct {
-	quiet time.Duration
-	more  func(silent time.Duration) time.Duration // of the silence that is explained beside quiet
-	ring  func()
+// silenceTimer calls onExpire when a server has sent nothing for too long.
+type silenceTimer struct {
+	timeout   time.Duration
+	extension func(silent time.Duration) time.Duration // how much longer than timeout the silence may last
+	onExpire  func()
 
-	mu    sync.Mutex
-	timer *time.Timer
-	last  time.Time
-	off   bool
+	mu           sync.Mutex
+	timer        *time.Timer
+	lastActivity time.Time
+	stopped      bool
 }
 
-func (a *alarm) start() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.last = time.Now()
-	a.timer = time.AfterFunc(a.quiet, a.look)
+func (t *silenceTimer) start() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastActivity = time.Now()
+	t.timer = time.AfterFunc(t.timeout, t.check)
 }
 
-// heard notes that the server has said something.
-func (a *alarm) heard() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.last = time.Now()
+// reset records that the server has sent something.
+func (t *silenceTimer) reset() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastActivity = time.Now()
 }
 
-func (a *alarm) stop() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.off = true
-	a.timer.Stop()
+func (t *silenceTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = true
+	t.timer.Stop()
 }
 
-// look rings, or looks again when the silence would be too long.
-func (a *alarm) look() {
-	bound := a.quiet
-	a.mu.Lock()
-	silent := time.Since(a.last)
-	a.mu.Unlock()
+// check calls onExpire if the silence has lasted too long, and otherwise schedules the
+// next check.
+func (t *silenceTimer) check() {
+	bound := t.timeout
+	t.mu.Lock()
+	silent := time.Since(t.lastActivity)
+	t.mu.Unlock()
 	if silent >= bound {
-		bound += a.more(silent)
+		bound += t.extension(silent)
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.off {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stopped {
 		return
 	}
-	if silent = time.Since(a.last); silent >= bound {
-		a.off = true
-		go a.ring()
+	if silent = time.Since(t.lastActivity); silent >= bound {
+		t.stopped = true
+		go t.onExpire()
 		return
 	}
-	a.timer.Reset(bound - silent)
+	t.timer.Reset(bound - silent)
 }
 
-// silence is how long a server may say nothing before the call is tried at
-// another, where that is allowed.
-func silence(c *call, p schedule.Placement) time.Duration {
+// silenceTimeout returns how long a server may send nothing before the call is tried on
+// another server. A call that can't be repeated or resumed gets an hour, in effect no
+// limit.
+func silenceTimeout(c *call, p schedule.Placement) time.Duration {
 	if !c.route.Resumable() {
 		return time.Hour
 	}
 	if c.route.Kind != site.Stream {
-		return max(silenceObjectives*c.route.Objective, minSilence/2)
+		return max(plainSilenceObjectives*c.route.Objective, minSilenceTimeout/2)
 	}
-	return max(minSilence, silenceGaps*c.route.Gap, 2*p.First+minSilence/2)
+	return max(minSilenceTimeout, streamSilenceGaps*c.route.Gap, 2*p.First+minSilenceTimeout/2)
 }
 
-// firstLook is after how much silence it is looked whether it is explained.
-func firstLook(c *call, p schedule.Placement) time.Duration {
+// firstSilenceCheck returns the silence after which it is first checked whether the
+// silence has an explanation.
+func firstSilenceCheck(c *call, p schedule.Placement) time.Duration {
 	if len(p.Shares) > 0 {
-		return min(silence(c, p), sharedSilence)
+		return min(silenceTimeout(c, p), sharedFirstCheck)
 	}
-	return silence(c, p)
+	return silenceTimeout(c, p)
 }
 
-// explained returns what tells how much of a server's silence is explained: by the
-// prompts that it has to read, or since it has begun to answer others meanwhile. Then
-// it lives, and the silence counts from that time, up to two objectives later. Engines
-// read parts of shared prompts ahead of what came before, so a prompt may wait for
-// what isn't there yet when it is placed. Of some hundred prompts of over 100,000
-// tokens on a day of 72 hosts, eight were taken away from engines that lived, to be
-// read from the beginning elsewhere; without that the mean worth of ten plays went
-// from 0.765 to 0.777.
-func (g *Gateway) explained(c *call, s State, p schedule.Placement, server backend.Server) func(silent time.Duration) time.Duration {
+// silenceExtension returns a function that computes by how much a silence may exceed
+// the first check. A silence is explained by the prompts that the server has yet to
+// read. It is also explained if the server has begun to answer other requests
+// meanwhile: the server is then alive, and the silence counts from that time, with an
+// extension of at most maxServingObjectives. The second rule is needed because engines
+// read parts of shared prompts out of order, so a prompt may wait for parts of others
+// that had not arrived when it was placed. Without the rule, on a day with 72 hosts,
+// eight of about a hundred prompts of over 100,000 tokens were taken from engines that
+// were alive, and read from the beginning elsewhere. The mean score of ten runs was
+// 0.765 without the rule and 0.777 with it.
+func (g *Gateway) silenceExtension(c *call, s State, p schedule.Placement, server backend.Server) func(silent time.Duration) time.Duration {
 	service, _ := s.Config.Service(p.Service)
-	quiet, look := silence(c, p), firstLook(c, p)
-	longest := servingObjectives * c.route.Objective // the call's route may change meanwhile
-	shared, missed := len(p.Shares) > 0, 0
+	timeout, firstCheck := silenceTimeout(c, p), firstSilenceCheck(c, p)
+	maxServing := maxServingObjectives * c.route.Objective // the call's route may change later
+	shared, probeFailures := len(p.Shares) > 0, 0
 	return func(silent time.Duration) time.Duration {
 		if service.Engine == nil {
 			return 0
 		}
-		if missed++; !shared || g.lives(server) {
-			missed = 0
+		if probeFailures++; !shared || g.reachable(server) {
+			probeFailures = 0
 		}
-		if missed >= sharedMisses {
+		if probeFailures >= maxProbeFailures {
 			return 0
 		}
 		now := g.clock.Now()
-		more := time.Duration(explainedPart * float64(g.board.Pause(now, service.Engine, server)))
+		extension := time.Duration(predictedPauseFactor * float64(g.board.Pause(now, service.Engine, server)))
 		if ago, known := g.board.Served(server.ID, now); known {
-			more = max(more, min(silent-ago, longest))
+			extension = max(extension, min(silent-ago, maxServing))
 		}
 		if shared {
-			return min(quiet-look+more, silent-look+sharedLook)
+			return min(timeout-firstCheck+extension, silent-firstCheck+sharedCheckInterval)
 		}
-		return more
+		return extension
 	}
 }
 
-// lives reports whether a server takes connections.
-func (g *Gateway) lives(s backend.Server) bool { return g.probe(s) == nil }
+// reachable reports whether a server accepts connections.
+func (g *Gateway) reachable(s backend.Server) bool { return g.probe(s) == nil }
--- a/daemon/gateway/stream.go
+++ b/daemon/gateway/stream.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// maxEvent bounds one event of a stream.
-	maxEvent = 1 << 20
-	readSize = 8 << 10
+	// maxEventBytes bounds the size of one stream event.
+	maxEventBytes   = 1 << 20
+	readBufferBytes = 8 << 10
 )
 
-var errEventTooLarge = errors.New("an event of the stream is larger than 1 MiB")
+var errEventTooLarge = errors.New("stream event larger than 1 MiB")
 
-// relay passes the events of a stream on, each as soon as it is whole. What
-// stands behind the last whole event of a stream that breaks is dropped, so
-// that it can go on at another server.
-func (g *Gateway) relay(w http.ResponseWriter, c *call, p schedule.Placement, a *upstream.Answer, al *alarm) outcome {
-	events := bufio.NewReaderSize(a.Body, readSize)
+// relay forwards the events of a stream, each as soon as it is complete. If the stream
+// breaks, an incomplete event is dropped, so that the stream can be resumed at another
+// server.
+func (g *Gateway) relay(w http.ResponseWriter, c *call, p schedule.Placement, a *upstream.Answer, timer *silenceTimer) outcome {
+	events := bufio.NewReaderSize(a.Body, readBufferBytes)
 	control := http.NewResponseController(w)
 	out := outcome{}
 	last := time.Now()
 	for n := 0; ; n++ {
-		e, err := nextEvent(events)
-		al.heard()
+		e, err := readEvent(events)
+		timer.reset()
 		now := time.Now()
-		if c.begun {
-			c.pause = max(c.pause, now.Sub(last))
+		if c.headSent {
+			c.maxPause = max(c.maxPause, now.Sub(last))
 			g.board.Passed(p.Lead, now.Sub(last), p.Pass, g.clock.Now())
 		}
 		last = now
@@ -43,64 +43,64 @@
 			break
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			no := g.failure(c, err, "stream")
-			out.result, out.why, out.broken = no.result, "stream_broken", no.broken
+			failure := g.failure(c, err, "stream")
+			out.result, out.reason, out.connBroken = failure.result, "stream_broken", failure.connBroken
 			return out
 		}
 		if n == 0 {
-			out.first = time.Since(c.arrived)
+			out.firstEvent = time.Since(c.arrivedAt)
 			g.board.Started(p.ID, g.clock.Now())
-			g.started(p.ID)
+			g.onStarted(p.ID)
 		}
-		begin(w, c, a)
+		sendHead(w, c, a)
 		if _, err := w.Write(e); err != nil {
-			out.result, out.why = callerGone, "caller_gone"
+			out.result, out.reason = callerGone, "caller_gone"
 			return out
 		}
 		if err := control.Flush(); err != nil {
-			out.result, out.why = callerGone, "caller_gone"
+			out.result, out.reason = callerGone, "caller_gone"
 			return out
 		}
 		if id := eventID(e); id != "" {
-			c.lastEvent = id
+			c.lastEventID = id
 		}
 		if err != nil {
 			break
 		}
 	}
-	begin(w, c, a)
+	sendHead(w, c, a)
 	a.Finish()
-	out.result, out.answer = answered, &whole{status: a.Status}
+	out.result, out.answer = answered, &bufferedAnswer{status: a.Status}
 	return out
 }
 
-// begin sends the head of a stream, unless that of an earlier try has gone out.
-func begin(w http.ResponseWriter, c *call, a *upstream.Answer) {
-	if c.begun {
+// sendHead sends the head of a stream, unless an earlier try has sent one.
+func sendHead(w http.ResponseWriter, c *call, a *upstream.Answer) {
+	if c.headSent {
 		return
 	}
-	head(w, a.Header)
+	copyHeaders(w, a.Header)
 	w.WriteHeader(a.Status)
-	c.begun = true
+	c.headSent = true
 }
 
-// nextEvent reads one event with the empty line that ends it. At the end of
-// the stream it returns what is left and io.EOF.
-func nextEvent(r *bufio.Reader) ([]byte, error) {
+// readEvent reads one event including the empty line that ends it. At the end of the
+// stream it returns the remaining bytes and io.EOF.
+func readEvent(r *bufio.Reader) ([]byte, error) {
 	var e []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		e = append(e, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			err = nil
-			if len(e) <= maxEvent {
+			if len(e) <= maxEventBytes {
 				continue
 			}
 		}
 		if err != nil {
 			return e, err
 		}
-		if len(e) > maxEvent {
+		if len(e) > maxEventBytes {
 			return e, errEventTooLarge
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// eventID returns the id of an event, or "" if it has none.
+// eventID returns the numeric ID of an event, or "" if it has none.
 func eventID(e []byte) string {
 	for line := range bytes.Lines(e) {
 		if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -17,153 +17,158 @@
 )
 
 const (
-	// probeTime bounds the look at a server whose connection broke: ten times the
-	// longest way between halls, and little beside the time of any caller. Ports of
-	// ended servers refuse within one way there and back.
-	probeTime = 50 * time.Millisecond
-	// wordTime is for the word of other hosts to come: some ways between halls, and the
-	// time in which hosts with a fifth of a core take it in.
-	wordTime = 30 * time.Millisecond
-	// lookPause lies between two looks at one server for other hosts, which tell
-	// of what they found several times a second.
-	lookPause = time.Second
-	// apartWait is when a caller may come back whose request has to wait for the
-	// verdict on a copy of it, or for a server without another suspect: somewhat
-	// more than what a short request takes.
-	apartWait = 300 * time.Millisecond
-	// confinedWait is the same for a workspace under which a server has just ended.
-	confinedWait = time.Second
-	// heldStatus tells a caller that the request itself is at fault, and so not to
-	// come back with it.
-	heldStatus = http.StatusBadRequest
-	// byThisHost names this host's own evidence in the log.
-	byThisHost = "own"
+	// probeTimeout bounds the probe of a server whose connection broke. It is ten times
+	// the maximum latency between halls, and short compared to callers' timeouts. The
+	// ports of crashed servers refuse connections within one round trip.
+	probeTimeout = 50 * time.Millisecond
+	// crashReportWait is the time for crash reports of other hosts to arrive: a few
+	// network latencies between halls, plus the time that hosts with a fifth of a core
+	// need to process them.
+	crashReportWait = 30 * time.Millisecond
+	// crashProbeInterval is the minimum time between probes of a server as a witness:
+	// other hosts repeat their crash reports several times per second.
+	crashProbeInterval = time.Second
+	// isolationRetryAfter is the Retry-After of a request that must wait for the result
+	// of one of its copies, or for a server without another suspect: somewhat more than
+	// the duration of a short request.
+	isolationRetryAfter = 300 * time.Millisecond
+	// confinedRetryAfter is the Retry-After of a confined workspace right after a server
+	// has crashed while serving one of its requests.
+	confinedRetryAfter = time.Second
+	// blockedStatus tells a caller that the request itself is at fault and must not be
+	// sent again.
+	blockedStatus = http.StatusBadRequest
+	// ownEvidence stands in the log for this host as the source of evidence.
+	ownEvidence = "own"
 )
 
-// stage is what becomes of a call by what is known of its request. The body of a
-// request is hashed only if a suspect looks like it.
+// stage returns the quarantine stage of a call's request. The body is hashed only if a
+// suspect with the same head hash exists.
 func (g *Gateway) stage(c *call) quarantine.Stage {
-	if !g.quarantine.MayContain(c.mark) {
+	if !g.quarantine.MayContain(c.headHash) {
 		return quarantine.Clear
 	}
-	if c.print == (quarantine.Fingerprint{}) {
-		c.print = c.identity().Fingerprint()
+	if c.fingerprint == (quarantine.Fingerprint{}) {
+		c.fingerprint = c.identity().Fingerprint()
 	}
-	return g.quarantine.Stage(c.print)
+	return g.quarantine.Stage(c.fingerprint)
 }
 
-// awaitVerdict waits while it is undecided whether servers have ended under a call's
-// request. Right after one has, it waits for the word of hosts that lost a copy of the
-// request at the same moment: else each of them would try another server.
-func (g *Gateway) awaitVerdict(ctx context.Context, c *call) {
-	if c.ended && pause.For(ctx, wordTime) != nil {
-		return // whoever tries it next looks at ctx
+// awaitConfirmation waits while crashes that are attributed to the call's request are
+// unconfirmed. Right after a crash it first waits for the reports of hosts that lost a
+// copy of the request at the same time. Otherwise each of these hosts would send the
+// request to another server.
+func (g *Gateway) awaitConfirmation(ctx context.Context, c *call) {
+	if c.crashFound && pause.For(ctx, crashReportWait) != nil {
+		return // the next step of the try checks ctx
 	}
-	c.ended = false
-	for g.stage(c) != quarantine.Clear && g.quarantine.AwaitsConfirmation(c.print, g.clock.Now()) {
+	c.crashFound = false
+	for g.stage(c) != quarantine.Clear && g.quarantine.AwaitsConfirmation(c.fingerprint, g.clock.Now()) {
 		if pause.For(ctx, quarantine.ConfirmationPollInterval) != nil {
-			return // whoever tries it next looks at ctx
+			return // the next step of the try checks ctx
 		}
 	}
 }
 
-// held refuses a call whose request has ended too many servers.
-func (g *Gateway) held(c *call) *refusal {
+// refuseIfBlocked refuses a call whose request is blocked after several crashes.
+func (g *Gateway) refuseIfBlocked(c *call) *refusalResponse {
 	if g.stage(c) != quarantine.Blocked {
 		return nil
 	}
-	r, age := g.quarantine.Lookup(c.print, g.clock.Now())
-	g.log.Write(event.SuspectRefused, slog.String("id", c.id), slog.String("same", c.mark.String()),
-		slog.String("print", c.print.String()), slog.String("workspace", c.workspace.Name),
+	r, age := g.quarantine.Lookup(c.fingerprint, g.clock.Now())
+	g.log.Write(event.SuspectRefused, slog.String("id", c.id), slog.String("same", c.headHash.String()),
+		slog.String("print", c.fingerprint.String()), slog.String("workspace", c.workspace.Name),
 		slog.Int("ended", len(r.Crashes)), slog.Duration("evidence_age", age))
-	return refuse(heldStatus, "request_ends_servers", 0)
+	return refuse(blockedStatus, "request_ends_servers", 0)
 }
 
-// inquire finds out which of the servers have ended on which a call broke. A
-// connection breaks for many reasons: reset, garbled, cut. Only the end of a server
-// says something of the request. The lead's answer breaks also when a server has
-// ended that read a part of the prompt for it.
-func (g *Gateway) inquire(c *call, lead backend.Server, helpers []string, out outcome) {
-	if c.ended = g.endedUnder(c, lead, out); c.ended || len(helpers) == 0 {
+// findCrash determines whether a server crashed when a call's connection broke.
+// Connections break for many reasons, such as resets, corrupted data or network
+// partitions; only a crash is evidence against the request. The lead's answer also
+// breaks if one of its helpers crashes.
+func (g *Gateway) findCrash(c *call, lead backend.Server, helpers []string, out outcome) {
+	if c.crashFound = g.recordCrash(c, lead, out); c.crashFound || len(helpers) == 0 {
 		return
 	}
 	servers := g.state().Servers
-	var all sync.WaitGroup
-	var ended atomic.Bool
+	var probes sync.WaitGroup
+	var crashed atomic.Bool
 	for _, id := range helpers {
 		if h, ok := servers.Get(id); ok {
-			all.Go(func() {
-				if g.endedUnder(c, h, out) {
-					ended.Store(true)
+			probes.Go(func() {
+				if g.recordCrash(c, h, out) {
+					crashed.Store(true)
 				}
 			})
 		}
 	}
-	all.Wait()
-	c.ended = ended.Load()
+	probes.Wait()
+	c.crashFound = crashed.Load()
 }
 
-// endedUnder notes what a call says of a server on which it broke, and reports whether
-// that server has ended. One that was to leave ends in any case.
-func (g *Gateway) endedUnder(c *call, server backend.Server, out outcome) bool {
+// recordCrash checks whether a server has crashed while running a call, adds the crash
+// to the quarantine registry, and reports whether there was one. The shutdown of a
+// server that is draining or leaving is not a crash.
+func (g *Gateway) recordCrash(c *call, server backend.Server, out outcome) bool {
 	servers := g.state().Servers
-	now, listed := servers.Get(server.ID)
+	current, listed := servers.Get(server.ID)
 	replaced := servers.Replaced(server)
-	if now.Draining || g.notices.Leaving(server.ID) || !listed && !replaced {
+	if current.Draining || g.notices.Leaving(server.ID) || !listed && !replaced {
 		return false
 	}
-	if listed && !g.closed(server) {
+	if listed && !g.portClosed(server) {
 		return false
 	}
 	g.log.Write(event.ServerEnded, slog.String("server", server.ID), slog.String("id", c.id),
-		slog.String("same", c.mark.String()), slog.String("workspace", c.workspace.Name), slog.String("why", out.why),
-		slog.Bool("apart", out.apart), slog.Bool("replaced", replaced))
+		slog.String("same", c.headHash.String()), slog.String("workspace", c.workspace.Name), slog.String("why", out.reason),
+		slog.Bool("apart", out.isolated), slog.Bool("replaced", replaced))
 	changes := g.quarantine.AddCrash(c.identity().Identity(), quarantine.Crash{
-		Server:    quarantine.ServerDigest(server.ID),
-		Reporter:  g.board.Host(),
-		Isolated:  out.apart,
-		Confirmed: replaced || len(g.hosts()) == 0, // a host that is alone misleads nobody
+		Server:   quarantine.ServerDigest(server.ID),
+		Reporter: g.board.Host(),
+		Isolated: out.isolated,
+		// Without other hosts there are no witnesses, and nobody is misled by a report.
+		Confirmed: replaced || len(g.otherHosts()) == 0,
 	}, g.clock.Now())
-	g.suspected(byThisHost, changes)
-	g.suspects() // others look at this server too, whatever stage that makes
+	g.logSuspectChanges(ownEvidence, changes)
+	g.suspectsChanged() // other hosts must probe this server too, also if the stage is unchanged
 	return true
 }
 
-// closed reports whether a server's port is found closed.
-func (g *Gateway) closed(s backend.Server) bool { return upstream.Closed(g.probe(s)) }
+// portClosed reports whether a server's port refuses connections.
+func (g *Gateway) portClosed(s backend.Server) bool { return upstream.Closed(g.probe(s)) }
 
-// probe looks whether a server takes connections. Calls that ask for one server
-// together look once.
+// probe returns nil if a server accepts connections. Concurrent probes of one server
+// share a single connection attempt.
 func (g *Gateway) probe(s backend.Server) error {
 	_, err, _ := g.probes.Do(s.Addr, func() (any, error) {
-		ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
 		return nil, g.pool.Probe(ctx, s.Addr)
 	})
 	return err
 }
 
-// answeredWhole clears a suspect: a request that was answered ends no servers.
-func (g *Gateway) answeredWhole(c *call) {
-	if g.stage(c) != quarantine.Clear && g.quarantine.ClearAnswered(c.print, g.clock.Now()) {
-		g.log.Write(event.SuspectCleared, slog.String("id", c.id), slog.String("same", c.mark.String()),
-			slog.String("print", c.print.String()))
-		g.suspects()
+// clearSuspect clears a suspected request that was answered: it doesn't crash servers.
+func (g *Gateway) clearSuspect(c *call) {
+	if g.stage(c) != quarantine.Clear && g.quarantine.ClearAnswered(c.fingerprint, g.clock.Now()) {
+		g.log.Write(event.SuspectCleared, slog.String("id", c.id), slog.String("same", c.headHash.String()),
+			slog.String("print", c.fingerprint.String()))
+		g.suspectsChanged()
 	}
 }
 
-// Pardon clears a suspect for an operator, and reports whether there was one.
+// Pardon clears a suspect on behalf of an operator, and reports whether there was one.
 func (g *Gateway) Pardon(p quarantine.Fingerprint) bool {
 	if !g.quarantine.Pardon(p, g.clock.Now()) {
 		return false
 	}
 	g.log.Write(event.SuspectCleared, slog.String("print", p.String()), slog.String("by", "operator"))
-	g.suspects()
+	g.suspectsChanged()
 	return true
 }
 
-// ReceiveSuspects takes in what others know of requests under which servers ended,
-// with by whom it was told. It reports whether what becomes of one has changed.
+// ReceiveSuspects merges suspects received from the host named by. It reports whether
+// the stage of any request has changed.
 func (g *Gateway) ReceiveSuspects(by string, rs []quarantine.Record) bool {
 	changed := false
 	for _, r := range rs {
@@ -172,51 +177,52 @@
 			continue
 		}
 		changes := g.quarantine.Merge(r, g.clock.Now())
-		g.suspected(by, changes)
+		g.logSuspectChanges(by, changes)
 		changed = changed || len(changes) > 0
-		g.witness(r)
+		g.probeAsWitness(r)
 	}
 	return changed
 }
 
-// suspected notes changes of what becomes of requests, with who saw the evidence
-// of them.
-func (g *Gateway) suspected(by string, changes []quarantine.Change) {
-	for _, k := range changes {
-		g.metrics.Count("gateway_suspects", 1, "stage", k.Stage.String())
-		if by != byThisHost && k.Stage < quarantine.Serialized {
-			continue // its host writes it: with 72 hosts that is one line for 72
+// logSuspectChanges logs and counts stage changes. by names the host that has provided the
+// evidence, or is ownEvidence.
+func (g *Gateway) logSuspectChanges(by string, changes []quarantine.Change) {
+	for _, change := range changes {
+		g.metrics.Count("gateway_suspects", 1, "stage", change.Stage.String())
+		if by != ownEvidence && change.Stage < quarantine.Serialized {
+			continue // the reporting host logs it; with 72 hosts each change would be logged 72 times
 		}
 		e := event.SuspectChanged
-		if k.Removed {
+		if change.Removed {
 			e = event.SuspectForgotten
 		}
-		g.log.Write(e, slog.String("same", k.Record.HeadHash.String()), slog.String("print", k.Record.Fingerprint.String()),
-			slog.String("workspace", k.Record.Workspace), slog.String("stage", k.Stage.String()),
-			slog.Int("ended", len(k.Record.Crashes)), slog.String("by", by))
+		g.log.Write(e, slog.String("same", change.Record.HeadHash.String()), slog.String("print", change.Record.Fingerprint.String()),
+			slog.String("workspace", change.Record.Workspace), slog.String("stage", change.Stage.String()),
+			slog.Int("ended", len(change.Record.Crashes)), slog.String("by", by))
 	}
 }
 
-// checkSuspects drops what is too old, and compares ends with the platform's list.
-func (g *Gateway) checkSuspects(now time.Duration) {
-	g.suspected(byThisHost, g.quarantine.Expire(now))
-	if !g.proof.ConfigCurrent() {
-		return // the list may be old
+// updateSuspects expires suspects, and compares crashes with the platform's server
+// list.
+func (g *Gateway) updateSuspects(now time.Duration) {
+	g.logSuspectChanges(ownEvidence, g.quarantine.Expire(now))
+	if !g.freshness.ConfigCurrent() {
+		return // the server list may be outdated
 	}
-	if servers := g.state().Servers; servers != g.listed {
-		g.listed = servers
-		g.roster.Update(starts(servers), now)
+	if servers := g.state().Servers; servers != g.rosterView {
+		g.rosterView = servers
+		g.roster.Update(instances(servers), now)
 	}
-	says := func(s uint32) quarantine.Listing { return g.roster.Listing(s, now) }
-	changes := g.quarantine.Reconcile(says, now)
-	g.suspected(byThisHost, changes)
-	if slices.ContainsFunc(changes, func(k quarantine.Change) bool { return !k.Removed }) {
-		g.suspects()
+	listing := func(s uint32) quarantine.Listing { return g.roster.Listing(s, now) }
+	changes := g.quarantine.Reconcile(listing, now)
+	g.logSuspectChanges(ownEvidence, changes)
+	if slices.ContainsFunc(changes, func(change quarantine.Change) bool { return !change.Removed }) {
+		g.suspectsChanged()
 	}
 }
 
-// starts lists the servers for a roster.
-func starts(servers *backend.View) []quarantine.Instance {
+// instances returns the listed servers in the form that a roster needs.
+func instances(servers *backend.View) []quarantine.Instance {
 	var list []quarantine.Instance
 	for _, id := range servers.IDs() {
 		s, _ := servers.Get(id)
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -21,47 +21,48 @@
 	"slipcrank.example/daemon/upstream"
 )
 
-// What has become of one try.
+// Results of a try.
 const (
-	answered   result = iota // the caller has the whole answer
-	unsent                   // no byte has left for the server
-	refused                  // the server says that it has not run it
-	failed                   // it may have run
+	answered   result = iota // the caller has the complete answer
+	unsent                   // no byte was sent to the server
+	refused                  // the server reports that the request was not run
+	failed                   // the request may have run
 	final                    // no other server may be tried
-	callerGone               // nobody waits any more
+	callerGone               // the caller has disconnected
 )
 
-// maxRefusal bounds what is read of a server's answer that says that it has
-// not run a request; the connection is kept if that is all of it.
-const maxRefusal = 1 << 20
+// maxRefusalBytes bounds how much of the answer to a request that was not run is read.
+// The connection is reused only if the answer is complete within it.
+const maxRefusalBytes = 1 << 20
 
-// maxAnswer bounds an answer that isn't a stream, since it is held whole: a
-// tenth of the memory of the smallest hosts. Usual answers have some KB.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds an answer that isn't a stream, since it is buffered completely:
+// to a tenth of the memory of the smallest hosts. Typical answers have a few KB.
+const maxAnswerBytes = 16 << 20
 
-// errSilent is a server that has said nothing for too long.
-var errSilent = errors.New("the backend server has fallen silent")
+// errServerSilent cancels a try whose server has sent nothing for too long.
+var errServerSilent = errors.New("backend server has sent nothing for too long")
 
 type (
 	result int
 
-	// outcome is what has become of one try.
+	// outcome describes how one try ended.
 	outcome struct {
-		result  result
-		why     string
-		server  string
-		service string
-		fault   string   // the server that the answer blames, by ID or address
-		answer  *whole   // of the server, if it is passed on as it is
-		no      *refusal // what the caller is told, if nothing ran
-		first   time.Duration
-		// broken says that the connection broke with the answer due.
-		broken bool
-		apart  bool // it ran where no other suspect was known to run
+		result       result
+		reason       string
+		server       string
+		service      string
+		faultyServer string           // the server that the answer blames, by ID or address
+		answer       *bufferedAnswer  // set if the server's answer may be forwarded unchanged
+		refusal      *refusalResponse // the answer to the caller if nothing has run
+		firstEvent   time.Duration
+		// connBroken reports whether the connection broke before the answer was
+		// complete.
+		connBroken bool
+		isolated   bool // it ran on a server without other known suspects
 	}
 
-	// whole is an answer with its body.
-	whole struct {
+	// bufferedAnswer is a server's complete answer.
+	bufferedAnswer struct {
 		status int
 		header http.Header
 		body   []byte
@@ -70,240 +71,243 @@
 
 // try places the call and sends it once.
 func (g *Gateway) try(ctx context.Context, w http.ResponseWriter, c *call) outcome {
-	g.awaitVerdict(ctx, c)
+	g.awaitConfirmation(ctx, c)
 	s := g.state()
-	if no := g.permit(c, s); no != nil {
-		return outcome{result: final, why: no.why, no: no}
+	if refusal := g.authorize(c, s); refusal != nil {
+		return outcome{result: final, reason: refusal.reason, refusal: refusal}
 	}
 	stage := g.stage(c)
 	if stage == quarantine.Blocked {
-		no := g.held(c)
-		return outcome{result: final, why: no.why, no: no}
+		refusal := g.refuseIfBlocked(c)
+		return outcome{result: final, reason: refusal.reason, refusal: refusal}
 	}
 	confined, waits := g.quarantine.Confined(c.workspace.Name, g.clock.Now())
 	if waits {
-		return outcome{result: final, why: "workspace_ends_servers", no: refuse(http.StatusServiceUnavailable, "workspace_ends_servers", confinedWait)}
+		return outcome{result: final, reason: "workspace_ends_servers", refusal: refuse(http.StatusServiceUnavailable, "workspace_ends_servers", confinedRetryAfter)}
 	}
-	p, service, no := g.take(ctx, c, s, stage, confined)
-	if no != nil {
-		return outcome{result: final, why: no.why, server: p.Lead, no: no}
+	p, service, refusal := g.placeWithGrant(ctx, c, s, stage, confined)
+	if refusal != nil {
+		return outcome{result: final, reason: refusal.reason, server: p.Lead, refusal: refusal}
 	}
 	defer g.board.Ended(p.ID)
 	server, _ := s.Servers.Get(p.Lead)
-	g.placed(p)
-	defer g.ended(p.ID)
-	hold, err := g.hold(ctx, s, p)
+	g.onPlaced(p)
+	defer g.onEnded(p.ID)
+	hold, err := g.reserveMemory(ctx, s, p)
 	if err != nil {
-		return outcome{result: unsent, why: "memory_not_held", server: p.Lead, service: service.Name}
+		return outcome{result: unsent, reason: "memory_not_held", server: p.Lead, service: service.Name}
 	}
 	if hold != nil {
 		defer hold.Release()
 	}
 	out := g.send(ctx, w, c, s, p, server)
-	out.server, out.service, out.apart = p.Lead, service.Name, p.Apart
-	g.judge(c, p, server, out)
+	out.server, out.service, out.isolated = p.Lead, service.Name, p.Apart
+	g.recordResult(c, p, server, out)
 	return out
 }
 
-// take places the call at a server that takes it now. Whoever holds the bucket of a
-// limited server decides that, and another server may be found in its place.
-func (g *Gateway) take(ctx context.Context, c *call, s State, stage quarantine.Stage, confined bool) (schedule.Placement, site.Service, *refusal) {
+// placeWithGrant places the call, and acquires a grant if the lead is rate-limited. If
+// a grant is denied, another server is chosen.
+func (g *Gateway) placeWithGrant(ctx context.Context, c *call, s State, stage quarantine.Stage, confined bool) (schedule.Placement, site.Service, *refusalResponse) {
 	for n := 0; ; n++ {
-		p, service, no := g.place(c, s, stage, confined)
-		if no != nil {
-			return p, service, no
+		p, service, refusal := g.place(c, s, stage, confined)
+		if refusal != nil {
+			return p, service, refusal
 		}
 		g.logPlaced(c, s, p)
-		if no = g.fits(c, p, service); no == nil {
-			no = g.admit(c, p)
+		if refusal = g.refuseIfNoMemory(c, p, service); refusal == nil {
+			refusal = g.admit(c, p)
 		}
-		if no != nil {
+		if refusal != nil {
 			g.board.Ended(p.ID)
-			return p, service, no
+			return p, service, refusal
 		}
-		wait, ok := g.granted(ctx, c, s, p)
+		wait, ok := g.acquireGrant(ctx, c, s, p)
 		if ok {
 			return p, service, nil
 		}
 		g.board.Ended(p.ID)
-		if n+1 >= maxAsks {
-			return p, service, refuse(http.StatusServiceUnavailable, "server_limits", max(wait, staleWait))
+		if n+1 >= maxGrantRequests {
+			return p, service, refuse(http.StatusServiceUnavailable, "server_limits", max(wait, otherHostRetryAfter))
 		}
 	}
 }
 
-// fits refuses a call that the engines of its service have no memory for.
-func (g *Gateway) fits(c *call, p schedule.Placement, service site.Service) *refusal {
+// refuseIfNoMemory refuses a call whose prompt doesn't fit into one engine, if the
+// engines of its service don't have enough free memory together.
+func (g *Gateway) refuseIfNoMemory(c *call, p schedule.Placement, service site.Service) *refusalResponse {
 	if p.Fits || service.Engine == nil || c.work.Prompt <= service.Engine.Memory {
 		return nil
 	}
-	return refuse(http.StatusServiceUnavailable, "no_memory", memoryWait)
+	return refuse(http.StatusServiceUnavailable, "no_memory", memoryRetryAfter)
 }
 
-// hold sets memory aside on the helpers of a placement that need it.
-func (g *Gateway) hold(ctx context.Context, s State, p schedule.Placement) (*memory.Hold, error) {
+// reserveMemory reserves memory on the helpers that need to store parts of the prompt.
+func (g *Gateway) reserveMemory(ctx context.Context, s State, p schedule.Placement) (*memory.Hold, error) {
 	if len(p.Shares) == 0 || g.memory == nil {
 		return nil, nil
 	}
 	parts := make([]memory.Part, 0, len(p.Shares))
-	for _, h := range p.Shares {
-		b, _ := s.Servers.Get(h.Server)
-		parts = append(parts, memory.Part{Addr: b.Addr, Tokens: h.Tokens})
+	for _, share := range p.Shares {
+		b, _ := s.Servers.Get(share.Server)
+		parts = append(parts, memory.Part{Addr: b.Addr, Tokens: share.Tokens})
 	}
-	return g.memory.Hold(ctx, ticket(p.ID), parts)
+	return g.memory.Hold(ctx, reservationID(p.ID), parts)
 }
 
-// ticket names the reservations of a placement.
-func ticket(id schedule.ID) string { return fmt.Sprintf("%x-%x", id.Host, id.Number) }
+// reservationID returns the ID of a placement's memory reservations.
+func reservationID(id schedule.ID) string { return fmt.Sprintf("%x-%x", id.Host, id.Number) }
 
-// judge notes evidence for and against the server. Where our own time or
-// right had run out there is none.
-func (g *Gateway) judge(c *call, p schedule.Placement, server backend.Server, out outcome) {
+// recordResult records evidence for and against the server. A call that ran out of
+// time, or that this host was no longer allowed to send, is no evidence.
+func (g *Gateway) recordResult(c *call, p schedule.Placement, server backend.Server, out outcome) {
 	now := g.clock.Now()
-	var rest time.Duration
+	var backoff time.Duration
 	switch {
 	case out.result == answered:
 		g.board.Answered(p.Service, p.Lead, false, now)
-		g.answeredWhole(c)
+		g.clearSuspect(c)
 		return
 	case out.result == callerGone, out.result == final:
 		return
 	}
 	blamed := p.Lead
-	if s, ok := g.state().Servers.Find(out.fault); ok && out.fault != "" {
+	if s, ok := g.state().Servers.Find(out.faultyServer); ok && out.faultyServer != "" {
 		blamed = s.ID
 	}
-	c.tried[blamed] = true
+	c.failedServers[blamed] = true
 	switch {
-	case out.why == "not_allowed", out.why == "out_of_time", !time.Now().Before(c.deadline):
+	case out.reason == "not_allowed", out.reason == "out_of_time", !time.Now().Before(c.deadline):
 		return
 	case out.result == failed && out.answer != nil:
-		rest = g.board.Answered(p.Service, blamed, true, now)
+		backoff = g.board.Answered(p.Service, blamed, true, now)
 	default:
-		rest = g.board.Failed(blamed, now)
+		backoff = g.board.Failed(blamed, now)
 	}
-	if out.broken {
-		c.copied = c.copied || g.board.Copies(uint64(c.mark)) > 1
-		g.inquire(c, server, p.Helpers, out)
+	if out.connBroken {
+		c.copiesFailed = c.copiesFailed || g.board.Copies(uint64(c.headHash)) > 1
+		g.findCrash(c, server, p.Helpers, out)
 	}
-	if rest > 0 {
-		g.failed(blamed)
+	if backoff > 0 {
+		g.onServerFailure(blamed)
 		g.log.Write(event.ServerAvoided, slog.String("id", c.id), slog.String("server", blamed),
-			slog.String("why", out.why), slog.Duration("rest", rest))
+			slog.String("why", out.reason), slog.Duration("rest", backoff))
 	}
 }
 
-// send sends the call to the lead of its placement and passes the answer on.
+// send sends the call to the lead of its placement and forwards the answer. It also
+// determines whether the caller has disconnected or the call ran out of time.
 func (g *Gateway) send(parent context.Context, w http.ResponseWriter, c *call, s State, p schedule.Placement, server backend.Server) outcome {
-	out := g.exchange(parent, w, c, s, p, server)
+	out := g.sendWatched(parent, w, c, s, p, server)
 	switch {
 	case out.result == answered:
 	case errors.Is(parent.Err(), context.Canceled):
-		out.result, out.why = callerGone, "caller_gone"
+		out.result, out.reason = callerGone, "caller_gone"
 	case parent.Err() != nil:
-		out.why, out.broken = "out_of_time", false
+		out.reason, out.connBroken = "out_of_time", false
 	}
 	return out
 }
 
-// exchange sends the call and passes the answer on.
-func (g *Gateway) exchange(ctx context.Context, w http.ResponseWriter, c *call, s State, p schedule.Placement, server backend.Server) outcome {
+// sendWatched sends the call and forwards the answer, and cancels both if the server is
+// silent or was restarted, or if the deadline passed during a suspension.
+func (g *Gateway) sendWatched(ctx context.Context, w http.ResponseWriter, c *call, s State, p schedule.Placement, server backend.Server) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a := &alarm{quiet: firstLook(c, p), more: g.explained(c, s, p, server), ring: func() { cancel(errSilent) }}
-	a.start()
-	defer a.stop()
-	defer g.exchanges.begin(server, c.due, cancel)()
-	out := g.answer(ctx, w, c, s, p, server, a)
-	if out.result == failed && errors.Is(context.Cause(ctx), errOverdue) {
-		out.why, out.broken = "out_of_time", false
-	}
-	if out.result == failed && errors.Is(context.Cause(ctx), errRestarted) {
-		out.why, out.broken = "server_restarted", true
-	}
-	if out.result == failed && errors.Is(context.Cause(ctx), errSilent) {
-		out.why, out.broken = "server_silent", false
-		c.silent = true
+	timer := &silenceTimer{timeout: firstSilenceCheck(c, p), extension: g.silenceExtension(c, s, p, server), onExpire: func() { cancel(errServerSilent) }}
+	timer.start()
+	defer timer.stop()
+	defer g.exchanges.add(server, c.bootDeadline, cancel)()
+	out := g.sendAndForward(ctx, w, c, s, p, server, timer)
+	if out.result == failed && errors.Is(context.Cause(ctx), errPastDeadline) {
+		out.reason, out.connBroken = "out_of_time", false
+	}
+	if out.result == failed && errors.Is(context.Cause(ctx), errServerRestarted) {
+		out.reason, out.connBroken = "server_restarted", true
+	}
+	if out.result == failed && errors.Is(context.Cause(ctx), errServerSilent) {
+		out.reason, out.connBroken = "server_silent", false
+		c.freshConn = true
 		g.pool.Drop(server.Addr)
 	}
 	return out
 }
 
-// answer sends the call and passes on what comes back, as its kind asks.
-func (g *Gateway) answer(ctx context.Context, w http.ResponseWriter, c *call, s State, p schedule.Placement,
-	server backend.Server, al *alarm,
+// sendAndForward sends the call and forwards the answer, as a stream or as a whole.
+func (g *Gateway) sendAndForward(ctx context.Context, w http.ResponseWriter, c *call, s State, p schedule.Placement,
+	server backend.Server, timer *silenceTimer,
 ) outcome {
-	a, err := g.pool.Send(ctx, server.Addr, g.request(c, s, p))
+	a, err := g.pool.Send(ctx, server.Addr, g.buildRequest(c, s, p))
 	if err != nil {
 		return g.failure(c, err, "send")
 	}
 	defer a.Close()
-	g.notice(c, server, a)
+	g.applyNotices(c, server, a)
 	c.attempts++
 	if a.Header.Get(g.dialect.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
 		return g.notRun(a)
 	}
-	c.may = true
+	c.mayHaveRun = true
 	if c.route.Kind == site.Stream && a.Status == http.StatusOK {
-		return g.relay(w, c, p, a, al)
+		return g.relay(w, c, p, a, timer)
 	}
 	return g.collect(w, c, a)
 }
 
-// failure tells what an error means for the call.
-func (g *Gateway) failure(c *call, err error, doing string) outcome {
+// failure converts an error of the given phase to an outcome.
+func (g *Gateway) failure(c *call, err error, phase string) outcome {
 	switch {
-	case errors.Is(err, errForbidden):
-		return outcome{result: unsent, why: "not_allowed"}
+	case errors.Is(err, errNotAllowed):
+		return outcome{result: unsent, reason: "not_allowed"}
 	case upstream.NotSent(err):
-		return outcome{result: unsent, why: "not_reached"}
+		return outcome{result: unsent, reason: "not_reached"}
 	}
-	c.may = true
-	if doing == "send" {
+	c.mayHaveRun = true
+	if phase == "send" {
 		c.attempts++
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
-		return outcome{result: failed, why: doing + "_timeout"}
+		return outcome{result: failed, reason: phase + "_timeout"}
 	}
-	return outcome{result: failed, why: doing + "_broken", broken: true}
+	return outcome{result: failed, reason: phase + "_broken", connBroken: true}
 }
 
-// notRun takes in an answer that says that the request has not run.
+// notRun reads an answer that reports that the request was not run.
 func (g *Gateway) notRun(a *upstream.Answer) outcome {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxRefusal))
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxRefusalBytes))
 	if err == nil {
 		a.Finish()
 	}
 	return outcome{
-		result: refused,
-		why:    "refused_" + strconv.Itoa(a.Status),
-		fault:  a.Header.Get(g.dialect.FaultyServer),
-		answer: &whole{a.Status, a.Header, body},
+		result:       refused,
+		reason:       "refused_" + strconv.Itoa(a.Status),
+		faultyServer: a.Header.Get(g.dialect.FaultyServer),
+		answer:       &bufferedAnswer{a.Status, a.Header, body},
 	}
 }
 
-// collect reads an answer whole and passes it on.
+// collect reads an answer completely, and forwards it unless it is a failure.
 func (g *Gateway) collect(w http.ResponseWriter, c *call, a *upstream.Answer) outcome {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err != nil {
 		return g.failure(c, err, "answer")
 	}
-	if len(body) > maxAnswer {
-		return outcome{result: final, why: "answer_too_large"}
+	if len(body) > maxAnswerBytes {
+		return outcome{result: final, reason: "answer_too_large"}
 	}
 	a.Finish()
-	out := outcome{result: answered, answer: &whole{a.Status, a.Header, body}}
-	if a.Status >= http.StatusInternalServerError || promises(a.Status) {
-		out.result, out.why = failed, "status_"+strconv.Itoa(a.Status)
+	out := outcome{result: answered, answer: &bufferedAnswer{a.Status, a.Header, body}}
+	if a.Status >= http.StatusInternalServerError || meansNotRun(a.Status) {
+		out.result, out.reason = failed, "status_"+strconv.Itoa(a.Status)
 		return out
 	}
-	g.pass(w, c, out)
+	g.forwardAnswer(w, c, out)
 	return out
 }
 
-// pass sends a server's answer to the caller as it is.
-func (g *Gateway) pass(w http.ResponseWriter, c *call, out outcome) {
-	head(w, out.answer.header)
+// forwardAnswer sends a server's answer to the caller unchanged.
+func (g *Gateway) forwardAnswer(w http.ResponseWriter, c *call, out outcome) {
+	copyHeaders(w, out.answer.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(out.answer.body)))
 	w.WriteHeader(out.answer.status)
 	if _, err := w.Write(out.answer.body); err != nil {
@@ -314,17 +318,17 @@
 	}
 }
 
-// head copies a server's headers into an answer of ours.
-func head(w http.ResponseWriter, h http.Header) {
+// copyHeaders copies the headers of a server's answer to the caller's answer.
+func copyHeaders(w http.ResponseWriter, h http.Header) {
 	closing := w.Header().Get("Connection")
-	for k, vs := range passed(h) {
+	for k, vs := range forwardedHeaders(h) {
 		w.Header()[k] = vs
 	}
 	if closing != "" {
 		w.Header().Set("Connection", closing)
 	}
 	if h.Get("Content-Type") == "" {
-		w.Header()["Content-Type"] = nil // no guess of the library's
+		w.Header()["Content-Type"] = nil // keeps net/http from guessing it
 	}
 	if h.Get("Date") == "" {
 		w.Header()["Date"] = nil
--- a/daemon/gateway/witness.go
+++ b/daemon/gateway/witness.go
@@ -11,49 +11,49 @@
 	"slipcrank.example/daemon/event"
 )
 
-// looks are when this host looked at servers for others. It is safe for use by
-// many goroutines.
-type looks struct {
-	mu   sync.Mutex
-	last map[uint32]time.Duration // by [quarantine.ServerDigest]
+// probeTimes records when this host last probed servers as a witness. It is safe for
+// concurrent use.
+type probeTimes struct {
+	mu       sync.Mutex
+	byServer map[uint32]time.Duration // by [quarantine.ServerDigest]
 }
 
-func newLooks() *looks { return &looks{last: map[uint32]time.Duration{}} }
+func newProbeTimes() *probeTimes { return &probeTimes{byServer: map[uint32]time.Duration{}} }
 
-// begin reports whether it is time to look at a server, and notes that it is done.
-func (l *looks) begin(server uint32, now time.Duration) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for s, at := range l.last {
-		if now-at >= lookPause {
-			delete(l.last, s)
+// start reports whether a server may be probed now, and if so records the probe.
+func (t *probeTimes) start(server uint32, now time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for s, at := range t.byServer {
+		if now-at >= crashProbeInterval {
+			delete(t.byServer, s)
 		}
 	}
-	if _, lately := l.last[server]; lately {
+	if _, recent := t.byServer[server]; recent {
 		return false
 	}
-	l.last[server] = now
+	t.byServer[server] = now
 	return true
 }
 
-// WithHosts sets what tells the other hosts that are there, by the platform.
-func WithHosts(f func() []quarantine.Host) Option { return func(g *Gateway) { g.hosts = f } }
+// WithHosts sets the function that returns the other hosts in the platform's list.
+func WithHosts(f func() []quarantine.Host) Option { return func(g *Gateway) { g.otherHosts = f } }
 
-// witness looks at servers that other hosts have found closed, where this one is a
-// witness. Nobody waits for it.
-func (g *Gateway) witness(r quarantine.Record) {
-	for _, e := range r.Crashes {
-		if e.Confirmed || !g.looks.begin(e.Server, g.clock.Now()) {
+// probeAsWitness starts probes of the servers that another host has found closed, if
+// this host is one of the witnesses. It doesn't wait for the results.
+func (g *Gateway) probeAsWitness(r quarantine.Record) {
+	for _, crash := range r.Crashes {
+		if crash.Confirmed || !g.crashProbes.start(crash.Server, g.clock.Now()) {
 			continue
 		}
-		if s, ok := g.digested(e.Server); ok && !s.Draining && g.witnesses(s, e) {
-			go g.look(s, e.Server)
+		if s, ok := g.serverByDigest(crash.Server); ok && !s.Draining && g.isWitness(s, crash) {
+			go g.confirmCrash(s, crash.Server)
 		}
 	}
 }
 
-// digested returns the server that others name by a digest.
-func (g *Gateway) digested(server uint32) (backend.Server, bool) {
+// serverByDigest returns the server with a digest, as used in reports of other hosts.
+func (g *Gateway) serverByDigest(server uint32) (backend.Server, bool) {
 	servers := g.state().Servers
 	for _, id := range servers.IDs() {
 		if quarantine.ServerDigest(id) == server {
@@ -63,27 +63,28 @@
 	return backend.Server{}, false
 }
 
-// witnesses reports whether this host is to look at a server that another has found
-// closed, by the hosts that were heard lately.
-func (g *Gateway) witnesses(s backend.Server, e quarantine.Crash) bool {
+// isWitness reports whether this host is a witness of a crash. Only hosts that were
+// heard from recently are considered.
+func (g *Gateway) isWitness(s backend.Server, crash quarantine.Crash) bool {
 	now := g.clock.Now()
-	hosts := slices.DeleteFunc(g.hosts(), func(h quarantine.Host) bool {
-		return h.Number != e.Reporter && !g.board.HeardFrom(h.Number, now)
+	hosts := slices.DeleteFunc(g.otherHosts(), func(h quarantine.Host) bool {
+		return h.Number != crash.Reporter && !g.board.HeardFrom(h.Number, now)
 	})
 	hosts = append(hosts, quarantine.Host{Number: g.board.Host(), Hall: g.hall})
-	return slices.Contains(quarantine.Witnesses(e.Server, s.Hall, e.Reporter, hosts), g.board.Host())
+	return slices.Contains(quarantine.Witnesses(crash.Server, s.Hall, crash.Reporter, hosts), g.board.Host())
 }
 
-// look proves a server's end, if this host finds it closed too.
-func (g *Gateway) look(s backend.Server, digest uint32) {
-	if !g.closed(s) {
+// confirmCrash probes a server as a witness, and confirms the crash if the port is
+// closed.
+func (g *Gateway) confirmCrash(s backend.Server, digest uint32) {
+	if !g.portClosed(s) {
 		return
 	}
 	rs, changes := g.quarantine.ConfirmCrash(digest, g.clock.Now())
 	if len(rs) == 0 {
-		return // others were faster
+		return // another host has already confirmed it
 	}
 	g.log.Write(event.EndProved, slog.String("server", s.ID), slog.Int("requests", len(rs)))
-	g.suspected(byThisHost, changes)
-	g.suspects()
+	g.logSuspectChanges(ownEvidence, changes)
+	g.suspectsChanged()
 }
