--- a/daemon/gateway/admit_test.go
+++ b/daemon/gateway/admit_test.go
@@ -8,33 +8,34 @@
 	"slipcrank.example/core/schedule"
 )
 
-// TestLateStreamIsTakenAtOnce has a route whose objective nothing can meet.
-func TestLateStreamIsTakenAtOnce(t *testing.T) {
-	f := start(t, streamFrom(events))
-	a := f.ask("POST", "/late/", "b", "Size", "10000,10", "Wait-Ms", "5000")
-	if a.status != 200 || a.body != allEvents() || f.runs() != 1 {
-		t.Errorf("status %d, body %q after %d runs, want the whole stream after 1", a.status, a.body, f.runs())
+// TestAlwaysLateStreamIsServed sends a stream whose objective can't be met even by idle
+// engines. It is not late because of the queue, so it must be served.
+func TestAlwaysLateStreamIsServed(t *testing.T) {
+	f := start(t, streamFrom(eventCount))
+	a := f.do("POST", "/late/", "b", "Size", "10000,10", "Wait-Ms", "5000")
+	if a.status != 200 || a.body != allEvents() || f.requestCount() != 1 {
+		t.Errorf("status %d, body %q after %d runs, want the complete stream after 1", a.status, a.body, f.requestCount())
 	}
 }
 
-// TestStreamThatDisplacesMoreIsRefused has each engine read long prompts of
-// another host, for 0.5 s: its caller may come back after that, and what its own
-// prompt needs. How much time a caller has left tells nothing of whether it was
-// here before, and changes nothing but when it may come back.
-func TestStreamThatDisplacesMoreIsRefused(t *testing.T) {
+// TestStreamThatDisplacesMoreValueIsRefused lets each engine read long prompts of other
+// hosts for 0.5 s. The Retry-After is the time until these are read, plus the time that
+// the refused prompt itself needs. The time left for a caller says nothing about
+// whether it was refused before, so it affects only the Retry-After.
+func TestStreamThatDisplacesMoreValueIsRefused(t *testing.T) {
 	for name, tc := range map[string]struct {
-		busy        bool
-		wait        string // that the caller has left, of 5 s
-		status      int
-		least, most float64 // seconds until it may come back
+		busy                         bool
+		timeLeft                     string // until the caller's deadline, in ms; the route's timeout is 5 s
+		status                       int
+		minRetryAfter, maxRetryAfter float64 // in seconds
 	}{
 		"idle engines":            {false, "5000", 200, 0, 0},
-		"busy ones":               {true, "5000", 503, 0.6, 1.5},
-		"busy ones, less time":    {true, "4000", 503, 0.6, 1.2},
+		"busy engines":            {true, "5000", 503, 0.6, 1.5},
+		"busy engines, less time": {true, "4000", 503, 0.6, 1.2},
 		"idle engines, less time": {false, "4000", 200, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := start(t, streamFrom(events), streamFrom(events))
+			f := start(t, streamFrom(eventCount), streamFrom(eventCount))
 			for n, id := range []string{"e0", "e1"} {
 				if tc.busy {
 					f.board.Heard(schedule.Placement{
@@ -47,7 +48,7 @@
 					})
 				}
 			}
-			a := f.ask("POST", "/late/", "b", "Size", "35000,10", "Wait-Ms", tc.wait)
+			a := f.do("POST", "/late/", "b", "Size", "35000,10", "Wait-Ms", tc.timeLeft)
 			if a.status != tc.status {
 				t.Fatalf("status %d, want %d", a.status, tc.status)
 			}
@@ -55,20 +56,20 @@
 				return
 			}
 			after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
-			if err != nil || after < tc.least || after > tc.most {
-				t.Errorf("come back after %q s, want %v to %v", a.header.Get("Retry-After"), tc.least, tc.most)
+			if err != nil || after < tc.minRetryAfter || after > tc.maxRetryAfter {
+				t.Errorf("Retry-After is %q s, want %v to %v", a.header.Get("Retry-After"), tc.minRetryAfter, tc.maxRetryAfter)
 			}
-			if f.runs() != 0 {
-				t.Error("a refused stream has run")
+			if f.requestCount() != 0 {
+				t.Error("a refused stream was sent to a server")
 			}
 		})
 	}
 }
 
-// TestStreamThatCallersWouldLeaveIsRefused has engines that read for others
-// for longer than callers wait for a first event.
-func TestStreamThatCallersWouldLeaveIsRefused(t *testing.T) {
-	f := start(t, streamFrom(events))
+// TestStreamWithTooLongQueueIsRefused lets the engine read prompts for longer than
+// callers wait for a first event.
+func TestStreamWithTooLongQueueIsRefused(t *testing.T) {
+	f := start(t, streamFrom(eventCount))
 	for n := range 2 {
 		f.board.Heard(schedule.Placement{
 			ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: "engine", Lead: "e0",
@@ -76,43 +77,44 @@
 			Shares: []schedule.Share{{Server: "elsewhere", Tokens: 130_000}},
 		})
 	}
-	a := f.ask("POST", "/late/", "b", "Size", "1000,10", "Wait-Ms", "30000")
-	if a.status != 503 || f.runs() != 0 {
-		t.Fatalf("status %d after %d runs, want 503 after none", a.status, f.runs())
+	a := f.do("POST", "/late/", "b", "Size", "1000,10", "Wait-Ms", "30000")
+	if a.status != 503 || f.requestCount() != 0 {
+		t.Fatalf("status %d after %d runs, want 503 after none", a.status, f.requestCount())
 	}
 	after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 	if err != nil || after <= 0 || after > 1.5 {
-		t.Errorf("come back after %q s, want up to a third of the route's 5 s", a.header.Get("Retry-After"))
+		t.Errorf("Retry-After is %q s, want up to a third of the route's 5 s", a.header.Get("Retry-After"))
 	}
 }
 
-func TestMemoryThatIsNeverThereEndsInARefusal(t *testing.T) {
-	f := start(t, streamFrom(events), streamFrom(events))
-	a := f.ask("POST", "/late/", "b", "Size", "150000,10", "Wait-Ms", "4500")
-	if a.status != 503 || f.runs() != 0 {
-		t.Errorf("status %d after %d runs, want 503 after none", a.status, f.runs())
+func TestPromptIsRefusedIfMemoryNeverBecomesFree(t *testing.T) {
+	f := start(t, streamFrom(eventCount), streamFrom(eventCount))
+	a := f.do("POST", "/late/", "b", "Size", "150000,10", "Wait-Ms", "4500")
+	if a.status != 503 || f.requestCount() != 0 {
+		t.Errorf("status %d after %d runs, want 503 after none", a.status, f.requestCount())
 	}
 	if n := f.reserved.Load(); n < 1 || n > 10 {
-		t.Errorf("memory was asked for %d times", n)
+		t.Errorf("%d attempts to reserve memory, want 1 to 10", n)
 	}
 }
 
-// TestWorkspaceIsHeldToItsShare has engines that are busy for one workspace: its
-// own caller is refused, where one of a workspace that has nothing there is not.
-func TestWorkspaceIsHeldToItsShare(t *testing.T) {
+// TestWorkspaceOverItsShareIsRefused keeps the engines busy with the prompts of one
+// workspace. A call of this workspace is refused; the call of a workspace without
+// running requests is served.
+func TestWorkspaceOverItsShareIsRefused(t *testing.T) {
 	for name, tc := range map[string]struct {
-		holder string // whose prompts the engines read
-		status int
-		counts int64
+		workspace string // whose prompts the engines are reading
+		status    int
+		refusals  int64
 	}{
-		"its own prompts": {"w1", 503, 1},
-		"of another one":  {"w2", 200, 0},
+		"its own prompts":              {"w1", 503, 1},
+		"prompts of another workspace": {"w2", 200, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := start(t, streamFrom(events), streamFrom(events))
+			f := start(t, streamFrom(eventCount), streamFrom(eventCount))
 			for n, id := range []string{"e0", "e1"} {
 				for host, p := range map[uint32]schedule.Placement{
-					2: {Work: schedule.Work{Prompt: 40_000, Answer: 10}, Workspace: schedule.WorkspaceOf(tc.holder)},
+					2: {Work: schedule.Work{Prompt: 40_000, Answer: 10}, Workspace: schedule.WorkspaceOf(tc.workspace)},
 					3: {Work: schedule.Work{Prompt: 12_000, Answer: 10}, Workspace: schedule.WorkspaceOf("w3")},
 				} {
 					p.ID, p.Service, p.Lead = schedule.ID{Host: host, Number: uint32(n)}, "engine", id
@@ -120,12 +122,12 @@
 					f.board.Heard(p)
 				}
 			}
-			a := f.ask("POST", "/read/", "b", "Size", "37000,10", "Wait-Ms", "5000")
+			a := f.do("POST", "/read/", "b", "Size", "37000,10", "Wait-Ms", "5000")
 			if a.status != tc.status {
 				t.Errorf("status %d, want %d", a.status, tc.status)
 			}
-			if n := f.metrics.Counted("gateway_over_share", "workspace", "w1"); n != tc.counts {
-				t.Errorf("counted %d times, want %d", n, tc.counts)
+			if n := f.metrics.Counted("gateway_over_share", "workspace", "w1"); n != tc.refusals {
+				t.Errorf("%d refusals counted, want %d", n, tc.refusals)
 			}
 		})
 	}
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -26,24 +26,25 @@
 	"slipcrank.example/daemon/upstream"
 )
 
-// dialect names headers as no platform does, so that the tests stand for all.
+// dialect uses header names of no existing platform, so that the tests don't depend on
+// one.
 var dialect = gateway.Dialect{
 	AttemptID: "Try", Deadline: "Wait-Ms", Workspace: "Workspace", ExpectInstance: "Only", NotRun: "Not-Run",
 	LastEventID: "After-Event", Urgency: "Rank", Helpers: "Readers", TokenCounts: "Size", AnswerHint: "Hint",
 	KeyScheme: "Key ", NotForwarded: []string{"Authorization", "Workspace", "Only", "Rank", "Readers", "Host", "Content-Length"},
 }
 
-// engine reads a prompt of 10,000 tokens in a tenth of a second.
+// engine is the model of an engine that reads a prompt of 10,000 tokens in 0.1 s.
 var engine = &site.Engine{Slots: 4, Memory: 100_000, Stride: 1, Step: time.Millisecond, ReadRate: 100_000, Chunk: 1000}
 
 type (
-	// server is a backend server that answers as a test says.
+	// server is a backend server whose answers are defined by a test.
 	server struct {
 		addr     string
 		listener net.Listener
 
-		mu  sync.Mutex
-		got []received
+		mu       sync.Mutex
+		requests []received
 	}
 
 	received struct {
@@ -55,16 +56,16 @@
 	reply func(r *http.Request, w io.Writer) bool
 
 	fixture struct {
-		t       *testing.T
-		front   *httptest.Server
-		gateway *gateway.Gateway
-		board   *schedule.Board
-		metrics *telemetry.Metrics
-		servers []*server
-		view    *backend.View
-		config  *site.Config
-		fresh   bool
-		// reserved counts orders for memory, of which there is none.
+		t             *testing.T
+		httpServer    *httptest.Server
+		gateway       *gateway.Gateway
+		board         *schedule.Board
+		metrics       *telemetry.Metrics
+		servers       []*server
+		view          *backend.View
+		config        *site.Config
+		configCurrent bool
+		// reserved counts memory reservations, all of which fail.
 		reserved atomic.Int64
 	}
 )
@@ -84,13 +85,13 @@
 			if err != nil {
 				return
 			}
-			go s.talk(c, answer)
+			go s.serveConn(c, answer)
 		}
 	}()
 	return s
 }
 
-func (s *server) talk(c net.Conn, answer reply) {
+func (s *server) serveConn(c net.Conn, answer reply) {
 	defer c.Close()
 	b := bufio.NewReader(c)
 	for {
@@ -100,7 +101,7 @@
 		}
 		body, _ := io.ReadAll(r.Body)
 		s.mu.Lock()
-		s.got = append(s.got, received{r, string(body)})
+		s.requests = append(s.requests, received{r, string(body)})
 		s.mu.Unlock()
 		if !answer(r, c) {
 			return
@@ -111,38 +112,38 @@
 func (s *server) received() []received {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]received(nil), s.got...)
+	return append([]received(nil), s.requests...)
 }
 
-// plain answers with a status, a mark and a body.
-func plain(status int, body string, more ...string) reply {
+// plainReply answers with a status, additional header lines and a body.
+func plainReply(status int, body string, headers ...string) reply {
 	return func(r *http.Request, w io.Writer) bool {
 		fmt.Fprintf(w, "HTTP/1.1 %d X\r\nTry: %s\r\nSeal: s\r\nContent-Length: %d\r\n%s\r\n%s",
-			status, r.Header.Get("Try"), len(body), strings.Join(more, ""), body)
+			status, r.Header.Get("Try"), len(body), strings.Join(headers, ""), body)
 		return true
 	}
 }
 
-// start puts a gateway before servers.
+// start starts a gateway in front of servers.
 func start(t *testing.T, answers ...reply) *fixture {
 	t.Helper()
 	return startWith(t, nil, answers...)
 }
 
-// startWith starts a gateway with more options.
-func startWith(t *testing.T, more []gateway.Option, answers ...reply) *fixture {
+// startWith starts a gateway with additional options.
+func startWith(t *testing.T, extra []gateway.Option, answers ...reply) *fixture {
 	t.Helper()
-	f := &fixture{t: t, fresh: true}
-	book := backend.NewRegistry()
+	f := &fixture{t: t, configCurrent: true}
+	registry := backend.NewRegistry()
 	for i, a := range answers {
 		s := serve(t, a)
 		f.servers = append(f.servers, s)
-		book.Put(backend.Server{ID: fmt.Sprintf("i%d", i), Service: "plain", Addr: s.addr, Slots: 4}, int64(i+1))
+		registry.Put(backend.Server{ID: fmt.Sprintf("i%d", i), Service: "plain", Addr: s.addr, Slots: 4}, int64(i+1))
 	}
 	for i, s := range f.servers {
-		book.Put(backend.Server{ID: fmt.Sprintf("e%d", i), Service: "engine", Addr: s.addr, Slots: 4}, int64(100+i))
+		registry.Put(backend.Server{ID: fmt.Sprintf("e%d", i), Service: "engine", Addr: s.addr, Slots: 4}, int64(100+i))
 	}
-	f.view = book.View(0)
+	f.view = registry.View(0)
 	route := func(name string, k site.Kind, attempts int) site.Route {
 		return site.Route{
 			Name: name, Host: "shop.example", Prefix: "/" + name + "/", Kind: k, Attempts: attempts,
@@ -172,10 +173,10 @@
 	t.Cleanup(l.Close)
 	budget := limit.NewRetryWindow(10*time.Second, 0.2, func() float64 { return 10 })
 	f.board, f.metrics = schedule.NewBoard(1), telemetry.NewMetrics()
-	os := append([]gateway.Option{
+	opts := append([]gateway.Option{
 		gateway.WithFreshness(gateway.Freshness{
-			KeysTrusted:   func() bool { return f.fresh },
-			ConfigCurrent: func() bool { return f.fresh },
+			KeysTrusted:   func() bool { return f.configCurrent },
+			ConfigCurrent: func() bool { return f.configCurrent },
 			ConfigAge:     func() time.Duration { return 0 },
 			ServersAge:    func() time.Duration { return 0 },
 		}),
@@ -186,27 +187,27 @@
 			},
 			Release: func(context.Context, string, string) error { return nil },
 		}, l)),
-	}, more...)
+	}, extra...)
 	f.gateway = gateway.New(dialect, func() gateway.State { return gateway.State{Config: f.config, Servers: f.view} },
-		upstream.New(), f.board, budget, l, f.metrics, os...)
-	f.front = httptest.NewServer(f.gateway)
-	t.Cleanup(f.front.Close)
+		upstream.New(), f.board, budget, l, f.metrics, opts...)
+	f.httpServer = httptest.NewServer(f.gateway)
+	t.Cleanup(f.httpServer.Close)
 	return f
 }
 
-// answer is what a caller sees.
+// answer is what a caller receives.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the answer was cut
-	close  bool  // it is the last of its connection
+	err    error // the answer was truncated
+	close  bool  // the server closes the connection after it
 }
 
-// ask sends a request; headers are pairs of name and value.
-func (f *fixture) ask(method, path, body string, headers ...string) answer {
+// do sends a request; headers are pairs of name and value.
+func (f *fixture) do(method, path, body string, headers ...string) answer {
 	f.t.Helper()
-	r, err := http.NewRequestWithContext(context.Background(), method, f.front.URL+path, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(context.Background(), method, f.httpServer.URL+path, strings.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -225,7 +226,7 @@
 	return answer{a.StatusCode, a.Header, string(b), err, a.Close}
 }
 
-func (f *fixture) runs() int {
+func (f *fixture) requestCount() int {
 	n := 0
 	for _, s := range f.servers {
 		n += len(s.received())
@@ -233,15 +234,15 @@
 	return n
 }
 
-func TestRequestPassesUntouched(t *testing.T) {
-	f := start(t, plain(200, "fine"))
-	a := f.ask("POST", "/safe/x%2Fy/../z?b=2&a=1", "the body", "X-Own", "v", "Workspace", "forged", "Only", "forged", "Wait-Ms", "900")
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	f := start(t, plainReply(200, "fine"))
+	a := f.do("POST", "/safe/x%2Fy/../z?b=2&a=1", "the body", "X-Own", "v", "Workspace", "forged", "Only", "forged", "Wait-Ms", "900")
 	if a.status != 200 || a.body != "fine" || a.header.Get("Seal") != "s" {
 		t.Fatalf("got %+v", a)
 	}
 	got := f.servers[0].received()[0]
 	if got.request.RequestURI != "/safe/x%2Fy/../z?b=2&a=1" || got.body != "the body" || got.request.Method != "POST" {
-		t.Errorf("the server got %s %s %q", got.request.Method, got.request.RequestURI, got.body)
+		t.Errorf("the server received %s %s %q", got.request.Method, got.request.RequestURI, got.body)
 	}
 	h := got.request.Header
 	for name, want := range map[string]string{"X-Own": "v", "Workspace": "w1", "Only": "i0", "Try": "t1", "Authorization": ""} {
@@ -250,22 +251,22 @@
 		}
 	}
 	if ms := h.Get("Wait-Ms"); ms == "" || len(ms) > 3 || ms > "900" {
-		t.Errorf("the deadline passed on is %q, want what is left of 900", ms)
+		t.Errorf("the forwarded deadline is %q ms, want what remains of 900 ms", ms)
 	}
 }
 
-func TestWhatTheCallerIsTold(t *testing.T) {
+func TestAnswersToCallers(t *testing.T) {
 	broken := func(_ *http.Request, w io.Writer) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		return false
 	}
 	closed := func(*http.Request, io.Writer) bool { return false }
-	noAnswer := func(_ *http.Request, w io.Writer) bool {
+	garbage := func(_ *http.Request, w io.Writer) bool {
 		_, _ = io.WriteString(w, "what is this\r\n\r\n")
 		return false
 	}
-	notRun := plain(503, "full", "Not-Run: 1\r\n")
-	fine := plain(200, "fine")
+	notRun := plainReply(503, "full", "Not-Run: 1\r\n")
+	fine := plainReply(200, "fine")
 	for name, tc := range map[string]struct {
 		path    string
 		answers []reply
@@ -273,38 +274,38 @@
 		runs    int
 		seal    string
 	}{
-		"once, broken off":               {"/once-two/", []reply{broken, broken}, 502, 1, ""},
-		"once, closed":                   {"/once-two/", []reply{closed, closed}, 502, 1, ""},
-		"once, bytes that are no answer": {"/once-two/", []reply{noAnswer, noAnswer}, 502, 1, ""},
+		"once, truncated answer":         {"/once-two/", []reply{broken, broken}, 502, 1, ""},
+		"once, closed without an answer": {"/once-two/", []reply{closed, closed}, 502, 1, ""},
+		"once, malformed answer":         {"/once-two/", []reply{garbage, garbage}, 502, 1, ""},
 		"once, not run, one attempt":     {"/once/", []reply{notRun, fine}, 503, 1, ""},
-		"once, 503 that may have run":    {"/once/", []reply{plain(503, "x")}, 502, 1, ""},
-		"once, 429 that may have run":    {"/once/", []reply{plain(429, "x")}, 502, 1, ""},
-		"once, failure of the server":    {"/once/", []reply{plain(500, "x")}, 500, 1, "s"},
-		"once, refused by each":          {"/once-two/", []reply{notRun, notRun}, 503, 2, ""},
-		"safe, failure of each":          {"/safe/", []reply{plain(500, "x"), plain(500, "x")}, 500, 2, "s"},
-		"safe, broken off by each":       {"/safe/", []reply{broken, broken}, 502, 2, ""},
+		"once, 503 that may have run":    {"/once/", []reply{plainReply(503, "x")}, 502, 1, ""},
+		"once, 429 that may have run":    {"/once/", []reply{plainReply(429, "x")}, 502, 1, ""},
+		"once, server error":             {"/once/", []reply{plainReply(500, "x")}, 500, 1, "s"},
+		"once, not run by any server":    {"/once-two/", []reply{notRun, notRun}, 503, 2, ""},
+		"safe, server error on each":     {"/safe/", []reply{plainReply(500, "x"), plainReply(500, "x")}, 500, 2, "s"},
+		"safe, truncated answer on each": {"/safe/", []reply{broken, broken}, 502, 2, ""},
 		"no route":                       {"/none/", []reply{fine}, 404, 0, ""},
-		"client error of the server":     {"/safe/", []reply{plain(400, "x")}, 400, 1, "s"},
-		"once, no length, closed at its end": {"/once/", []reply{func(_ *http.Request, w io.Writer) bool {
+		"client error from the server":   {"/safe/", []reply{plainReply(400, "x")}, 400, 1, "s"},
+		"once, no length, ended by closing": {"/once/", []reply{func(_ *http.Request, w io.Writer) bool {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nSeal: s\r\n\r\nfine")
 			return false
 		}}, 200, 1, "s"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(t, tc.answers...)
-			a := f.ask("POST", tc.path, "b")
-			if a.err != nil || a.status != tc.status || f.runs() != tc.runs || a.header.Get("Seal") != tc.seal {
+			a := f.do("POST", tc.path, "b")
+			if a.err != nil || a.status != tc.status || f.requestCount() != tc.runs || a.header.Get("Seal") != tc.seal {
 				t.Errorf("status %d, seal %q, error %v after %d runs, want %d, %q after %d",
-					a.status, a.header.Get("Seal"), a.err, f.runs(), tc.status, tc.seal, tc.runs)
+					a.status, a.header.Get("Seal"), a.err, f.requestCount(), tc.status, tc.seal, tc.runs)
 			}
 			if a.status == 503 && a.header.Get("Retry-After") == "" {
-				t.Error("a refusal doesn't tell when to come back")
+				t.Error("a refusal without Retry-After")
 			}
 		})
 	}
 }
 
-func TestSafeRequestIsTriedElsewhere(t *testing.T) {
+func TestRepeatableRequestIsRetriedOnAnotherServer(t *testing.T) {
 	var mu sync.Mutex
 	first := true
 	flaky := func(r *http.Request, w io.Writer) bool {
@@ -312,71 +313,71 @@
 		defer mu.Unlock()
 		if first {
 			first = false
-			return plain(500, "x")(r, w)
+			return plainReply(500, "x")(r, w)
 		}
-		return plain(200, "fine")(r, w)
+		return plainReply(200, "fine")(r, w)
 	}
 	f := start(t, flaky, flaky)
-	if a := f.ask("GET", "/safe/", ""); a.status != 200 || f.runs() != 2 {
-		t.Errorf("status %d after %d runs, want 200 after 2", a.status, f.runs())
+	if a := f.do("GET", "/safe/", ""); a.status != 200 || f.requestCount() != 2 {
+		t.Errorf("status %d after %d runs, want 200 after 2", a.status, f.requestCount())
 	}
 }
 
 func TestKeys(t *testing.T) {
 	for name, tc := range map[string]struct {
-		path, key string
-		fresh     bool
-		want      int
+		path, key     string
+		configCurrent bool
+		want          int
 	}{
-		"known":                  {"/safe/", "Key k1", true, 200},
-		"unknown":                {"/safe/", "Key no", true, 401},
-		"none":                   {"/safe/", "", true, 401},
-		"none on a public route": {"/public/", "", true, 200},
-		"known, not proven":      {"/safe/", "Key k1", false, 503},
-		"unknown, not proven":    {"/safe/", "Key no", false, 503},
-		"no route, not proven":   {"/none/", "Key k1", false, 503},
+		"known":                            {"/safe/", "Key k1", true, 200},
+		"unknown":                          {"/safe/", "Key no", true, 401},
+		"none":                             {"/safe/", "", true, 401},
+		"none on a public route":           {"/public/", "", true, 200},
+		"known, outdated configuration":    {"/safe/", "Key k1", false, 503},
+		"unknown, outdated configuration":  {"/safe/", "Key no", false, 503},
+		"no route, outdated configuration": {"/none/", "Key k1", false, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := start(t, plain(200, "fine"))
-			f.fresh = tc.fresh
-			if a := f.ask("GET", tc.path, "", "Authorization", tc.key); a.status != tc.want {
+			f := start(t, plainReply(200, "fine"))
+			f.configCurrent = tc.configCurrent
+			if a := f.do("GET", tc.path, "", "Authorization", tc.key); a.status != tc.want {
 				t.Errorf("status %d, want %d", a.status, tc.want)
 			}
 		})
 	}
 }
 
-func TestAnswerOfAnotherRequestIsNotPassedOn(t *testing.T) {
+func TestAnswerToAnotherRequestIsNotForwarded(t *testing.T) {
 	f := start(t, func(r *http.Request, w io.Writer) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nTry: other\r\nContent-Length: 5\r\n\r\nwrong")
-		return plain(200, "right")(r, w)
+		return plainReply(200, "right")(r, w)
 	})
-	if a := f.ask("POST", "/once/", "b"); a.status != 200 || a.body != "right" {
+	if a := f.do("POST", "/once/", "b"); a.status != 200 || a.body != "right" {
 		t.Errorf("got %d %q", a.status, a.body)
 	}
 }
 
-func TestSurplusBytesReachNobody(t *testing.T) {
+func TestSurplusBytesAreNotForwarded(t *testing.T) {
 	f := start(t, func(r *http.Request, w io.Writer) bool {
-		plain(200, "right")(r, w)
-		return plain(200, "wrong")(r, w)
+		plainReply(200, "right")(r, w)
+		return plainReply(200, "wrong")(r, w)
 	})
 	for n := range 3 {
-		if a := f.ask("POST", "/once/", "b", "Try", fmt.Sprintf("t%d", n)); a.status != 200 || a.body != "right" {
+		if a := f.do("POST", "/once/", "b", "Try", fmt.Sprintf("t%d", n)); a.status != 200 || a.body != "right" {
 			t.Errorf("got %d %q", a.status, a.body)
 		}
 	}
 }
 
-func TestTooLargeBody(t *testing.T) {
-	f := start(t, plain(200, "fine"))
-	if a := f.ask("POST", "/once/", strings.Repeat("x", 2<<10)); a.status != 413 || f.runs() != 0 {
-		t.Errorf("status %d after %d runs, want 413 after none", a.status, f.runs())
+func TestTooLargeBodyIsRefused(t *testing.T) {
+	f := start(t, plainReply(200, "fine"))
+	if a := f.do("POST", "/once/", strings.Repeat("x", 2<<10)); a.status != 413 || f.requestCount() != 0 {
+		t.Errorf("status %d after %d runs, want 413 after none", a.status, f.requestCount())
 	}
 }
 
-func TestCallerThatLeavesEndsTheRun(t *testing.T) {
-	reached, ended := make(chan struct{}), make(chan struct{})
+func TestCallerDisconnectCancelsServerRequest(t *testing.T) {
+	reached, canceled := make(chan struct{}), make(chan struct{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -389,26 +390,26 @@
 		}
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		close(reached)
-		_, _ = io.Copy(io.Discard, c) // ends as the connection is closed
-		close(ended)
+		_, _ = io.Copy(io.Discard, c) // returns when the connection is closed
+		close(canceled)
 	}()
-	f := start(t, plain(200, "unused"))
-	book := backend.NewRegistry()
-	book.Put(backend.Server{ID: "i", Service: "plain", Addr: l.Addr().String(), Slots: 1}, 1)
-	f.view = book.View(0)
-	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
+	f := start(t, plainReply(200, "unused"))
+	registry := backend.NewRegistry()
+	registry.Put(backend.Server{ID: "i", Service: "plain", Addr: l.Addr().String(), Slots: 1}, 1)
+	f.view = registry.View(0)
+	c, err := net.Dial("tcp", f.httpServer.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(c, "POST /once/ HTTP/1.1\r\nHost: shop.example\r\nTry: t\r\nAuthorization: Key k1\r\nContent-Length: 1\r\n\r\nb")
 	<-reached
 	_ = c.Close()
-	<-ended
+	<-canceled
 }
 
-// TestCallerThatStopsReadingIsGivenUp has a stream that is longer than what
-// connections hold, and a caller that reads nothing of it.
-func TestCallerThatStopsReadingIsGivenUp(t *testing.T) {
+// TestCallEndsIfCallerStopsReading sends a stream that exceeds the buffers of the
+// caller's connection, to a caller that reads nothing.
+func TestCallEndsIfCallerStopsReading(t *testing.T) {
 	f := start(t, func(r *http.Request, w io.Writer) bool {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nTry: %s\r\nContent-Type: text/event-stream\r\n\r\n", r.Header.Get("Try"))
 		for n := 1; ; n++ {
@@ -417,49 +418,49 @@
 			}
 		}
 	})
-	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
+	c, err := net.Dial("tcp", f.httpServer.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	_, _ = io.WriteString(c, "POST /stream/ HTTP/1.1\r\nHost: shop.example\r\nTry: t\r\nWait-Ms: 300\r\nAuthorization: Key k1\r\nContent-Length: 1\r\n\r\nb")
-	by := time.Now().Add(10 * time.Second)
-	for f.runs() == 0 || f.gateway.Active() > 0 {
-		if time.Now().After(by) {
-			t.Fatalf("%d calls are in progress long after their time", f.gateway.Active())
+	end := time.Now().Add(10 * time.Second)
+	for f.requestCount() == 0 || f.gateway.Active() > 0 {
+		if time.Now().After(end) {
+			t.Fatalf("%d calls are in progress long after their deadlines", f.gateway.Active())
 		}
 		_ = pause.For(t.Context(), 10*time.Millisecond)
 	}
 }
 
-func TestAnswerWithoutBoundIsNotHeld(t *testing.T) {
-	f := start(t, plain(200, strings.Repeat("x", 17<<20)))
-	if a := f.ask("POST", "/once/", "b"); a.status != 502 || f.runs() != 1 {
-		t.Errorf("status %d after %d runs, want 502 after 1", a.status, f.runs())
+func TestTooLargeAnswerIsNotBuffered(t *testing.T) {
+	f := start(t, plainReply(200, strings.Repeat("x", 17<<20)))
+	if a := f.do("POST", "/once/", "b"); a.status != 502 || f.requestCount() != 1 {
+		t.Errorf("status %d after %d runs, want 502 after 1", a.status, f.requestCount())
 	}
 }
 
-func TestStopRefusesWhatMayNotEnd(t *testing.T) {
-	f := start(t, plain(200, "fine"))
+func TestDrainRefusesCallsThatMayNotFinish(t *testing.T) {
+	f := start(t, plainReply(200, "fine"))
 	now := time.Now()
 	for name, tc := range map[string]struct {
-		notice, end time.Duration
-		path        string
-		want        int
+		refuseFrom, end time.Duration
+		path            string
+		want            int
 	}{
-		"stream before the notice has passed": {time.Minute, time.Hour, "/resume/", 200},
-		"stream after it":                     {-time.Minute, time.Hour, "/resume/", 503},
-		"call that can end":                   {-time.Minute, time.Hour, "/safe/", 200},
-		"call that may not end":               {-time.Minute, time.Second, "/safe/", 503},
+		"stream before refusals start": {time.Minute, time.Hour, "/resume/", 200},
+		"stream after refusals start":  {-time.Minute, time.Hour, "/resume/", 503},
+		"call that can finish":         {-time.Minute, time.Hour, "/safe/", 200},
+		"call that may not finish":     {-time.Minute, time.Second, "/safe/", 503},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f.gateway.Drain(now.Add(tc.notice), now.Add(tc.end))
-			a := f.ask("POST", tc.path, "b")
+			f.gateway.Drain(now.Add(tc.refuseFrom), now.Add(tc.end))
+			a := f.do("POST", tc.path, "b")
 			if a.status != tc.want {
 				t.Errorf("status %d, want %d", a.status, tc.want)
 			}
 			if !a.close {
-				t.Error("the connection is kept although the daemon stops")
+				t.Error("the connection is kept open during a shutdown")
 			}
 		})
 	}
--- a/daemon/gateway/shared_silence_test.go
+++ b/daemon/gateway/shared_silence_test.go
@@ -13,18 +13,18 @@
 	"slipcrank.example/daemon/upstream"
 )
 
-// TestMemoryIsHeldForNoServerThatIsGone looks at a lead that has said nothing for
-// 3.6 s, less than what its prompt explains, while it lives, and once it is gone: then
-// the memory that others hold for it has to be released within 4 s.
-func TestMemoryIsHeldForNoServerThatIsGone(t *testing.T) {
+// TestSharedPromptIsGivenUpIfServerIsGone checks a lead that has been silent for 3.6 s,
+// which is less than its prompt explains. If the lead is unreachable, the memory that
+// other servers reserve for the prompt must be released within 4 s.
+func TestSharedPromptIsGivenUpIfServerIsGone(t *testing.T) {
 	for name, tc := range map[string]struct {
 		shared, gone bool
 		want         bool // that the silence is explained after 3.6 s
 	}{
-		"alone, gone":     {false, true, true},
-		"shared, lives":   {true, false, true},
-		"shared, gone":    {true, true, false},
-		"alone, it lives": {false, false, true},
+		"not shared, unreachable": {false, true, true},
+		"shared, reachable":       {true, false, true},
+		"shared, unreachable":     {true, true, false},
+		"not shared, reachable":   {false, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,12 +46,12 @@
 				p.Shares = []schedule.Share{{Server: "t", Tokens: 1000}}
 			}
 			const silent = 3600 * time.Millisecond
-			look, more := firstSilenceCheck(c, p), g.silenceExtension(c, s, p, server)
-			if bound := look + more(look); bound <= look || tc.gone && tc.shared && bound > silent {
-				t.Errorf("looked at after %v, the silence may last %v", look, bound)
+			firstCheck, extension := firstSilenceCheck(c, p), g.silenceExtension(c, s, p, server)
+			if bound := firstCheck + extension(firstCheck); bound <= firstCheck || tc.gone && tc.shared && bound > silent {
+				t.Errorf("at the first check after %v, the silence may last %v", firstCheck, bound)
 			}
-			if bound := look + more(silent); (silent < bound) != tc.want {
-				t.Errorf("looked at again, the silence may last %v", bound)
+			if bound := firstCheck + extension(silent); (silent < bound) != tc.want {
+				t.Errorf("at a later check, the silence may last %v", bound)
 			}
 		})
 	}
--- a/daemon/gateway/shares_test.go
+++ b/daemon/gateway/shares_test.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-func TestSharesNoteWhoIsHeld(t *testing.T) {
+func TestShareRefusalsTrackWorkspaces(t *testing.T) {
 	s := newShareRefusals()
 	at := time.Unix(1_000_000, 0)
-	if name, begins := s.record("till", at); name != "till" || !begins {
-		t.Errorf("the first refusal counts for %q, begins %v", name, begins)
+	if label, first := s.record("till", at); label != "till" || !first {
+		t.Errorf("label %q of the first refusal, first %v", label, first)
 	}
-	if _, begins := s.record("till", at.Add(time.Second)); begins {
-		t.Error("a workspace that is held begins to be held again")
+	if _, first := s.record("till", at.Add(time.Second)); first {
+		t.Error("a further refusal counts as the first one")
 	}
 	if ws := s.expire(at.Add(overShareRetention)); len(ws) != 0 {
-		t.Errorf("%v are released %v after the last refusal", ws, overShareRetention-time.Second)
+		t.Errorf("%v expired %v after the last refusal", ws, overShareRetention-time.Second)
 	}
 	if ws := s.expire(at.Add(time.Second + overShareRetention)); len(ws) != 1 || ws[0] != "till" {
-		t.Errorf("%v are released, want till", ws)
+		t.Errorf("%v expired, want till", ws)
 	}
-	if _, begins := s.record("till", at.Add(time.Minute)); !begins {
-		t.Error("a workspace that was released is not held anew")
+	if _, first := s.record("till", at.Add(time.Minute)); !first {
+		t.Error("a refusal after the expiry doesn't count as the first one")
 	}
 }
 
-// TestSharesAreBounded has more workspaces over their share than are named.
-func TestSharesAreBounded(t *testing.T) {
+// TestShareRefusalLabelsAreBounded refuses calls of more workspaces than get their own
+// metric label.
+func TestShareRefusalLabelsAreBounded(t *testing.T) {
 	s := newShareRefusals()
 	at := time.Unix(1_000_000, 0)
-	names := map[string]bool{}
+	labels := map[string]bool{}
 	for n := range 3 * maxTrackedWorkspaces {
-		name, _ := s.record(fmt.Sprint(n), at.Add(time.Duration(n)*time.Second))
-		names[name] = true
+		label, _ := s.record(fmt.Sprint(n), at.Add(time.Duration(n)*time.Second))
+		labels[label] = true
 		s.expire(at.Add(time.Duration(n) * time.Second))
 	}
-	if len(names) != maxTrackedWorkspaces+1 || !names[otherWorkspacesLabel] {
-		t.Errorf("%d names are counted, want %d and %q", len(names), maxTrackedWorkspaces, otherWorkspacesLabel)
+	if len(labels) != maxTrackedWorkspaces+1 || !labels[otherWorkspacesLabel] {
+		t.Errorf("%d labels, want %d including %q", len(labels), maxTrackedWorkspaces, otherWorkspacesLabel)
 	}
 }
--- a/daemon/gateway/silence_test.go
+++ b/daemon/gateway/silence_test.go
@@ -14,13 +14,13 @@
 	"slipcrank.example/daemon/gateway"
 )
 
-// silentLater answers the first request of each connection, once all servers
-// have one, and says nothing more on it: the connection stays open.
-func silentLater(all *sync.WaitGroup) reply {
+// replyOncePerConn answers the first request of each connection as soon as all servers
+// have received one. On later requests it sends nothing, and keeps the connection open.
+func replyOncePerConn(firstRequests *sync.WaitGroup) reply {
 	var mu sync.Mutex
 	seen := map[io.Writer]bool{}
 	var once sync.Once
-	answer := plain(200, "fine")
+	answer := plainReply(200, "fine")
 	return func(r *http.Request, w io.Writer) bool {
 		mu.Lock()
 		silent := seen[w]
@@ -29,47 +29,47 @@
 		if silent {
 			return true
 		}
-		once.Do(func() { all.Done(); all.Wait() })
+		once.Do(func() { firstRequests.Done(); firstRequests.Wait() })
 		return answer(r, w)
 	}
 }
 
-// TestKeptConnectionsFallSilent has all connections that this host keeps go
-// silent at once, without a reset, while new ones work.
-func TestKeptConnectionsFallSilent(t *testing.T) {
-	var all sync.WaitGroup
-	all.Add(2)
-	f := start(t, silentLater(&all), silentLater(&all))
+// TestRetryIfPooledConnectionsFallSilent makes all pooled connections silent at the
+// same time without a reset, as in a network partition, while new connections work.
+func TestRetryIfPooledConnectionsFallSilent(t *testing.T) {
+	var firstRequests sync.WaitGroup
+	firstRequests.Add(2)
+	f := start(t, replyOncePerConn(&firstRequests), replyOncePerConn(&firstRequests))
 	var first sync.WaitGroup
 	for n := range f.servers {
-		first.Go(func() { f.ask("GET", fmt.Sprintf("/quick/%d", n), "") }) // copies would go to one server
+		first.Go(func() { f.do("GET", fmt.Sprintf("/quick/%d", n), "") }) // equal requests would be sent to the same server
 	}
 	first.Wait()
-	if a := f.ask("GET", "/quick/", ""); a.status != http.StatusOK {
-		t.Errorf("status %d once the kept connections are silent, want 200", a.status)
+	if a := f.do("GET", "/quick/", ""); a.status != http.StatusOK {
+		t.Errorf("status %d after the pooled connections fell silent, want 200", a.status)
 	}
 }
 
-// TestServerThatServesOthersIsNoSilentOne has engines begin to answer 1.8 s after
-// they are asked, above the bound on silence, and begin to answer others meanwhile,
-// or not.
-func TestServerThatServesOthersIsNoSilentOne(t *testing.T) {
+// TestServerThatAnswersOthersIsNotSilent lets engines begin to answer 1.8 s after a
+// request, later than the silence timeout. Meanwhile they begin to answer other
+// requests, or not.
+func TestServerThatAnswersOthersIsNotSilent(t *testing.T) {
 	for name, tc := range map[string]struct {
 		others bool
 		tries  int64
 		status int
 	}{
-		"serves others": {true, 1, http.StatusOK}, "serves nobody": {false, 2, http.StatusBadGateway},
+		"answers others": {true, 1, http.StatusOK}, "answers nobody": {false, 2, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var tries atomic.Int64
-			slow := func(r *http.Request, w io.Writer) bool {
+			slowReply := func(r *http.Request, w io.Writer) bool {
 				tries.Add(1)
 				<-time.After(1800 * time.Millisecond)
-				return streamFrom(events)(r, w)
+				return streamFrom(eventCount)(r, w)
 			}
 			clock := boottime.New()
-			f := startWith(t, []gateway.Option{gateway.WithClock(clock)}, slow, slow)
+			f := startWith(t, []gateway.Option{gateway.WithClock(clock)}, slowReply, slowReply)
 			done := make(chan struct{})
 			var all sync.WaitGroup
 			all.Go(func() {
@@ -87,7 +87,7 @@
 					}
 				}
 			})
-			a := f.ask("POST", "/wait/", "b", "Size", "1000,10")
+			a := f.do("POST", "/wait/", "b", "Size", "1000,10")
 			close(done)
 			all.Wait()
 			if a.status != tc.status || tries.Load() != tc.tries {
--- a/daemon/gateway/stream_test.go
+++ b/daemon/gateway/stream_test.go
@@ -9,30 +9,30 @@
 	"testing"
 )
 
-const events = 6
+const eventCount = 6
 
-func event(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
+func formatEvent(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
 func allEvents() string {
 	var b strings.Builder
-	for n := 1; n <= events; n++ {
-		b.WriteString(event(n))
+	for n := 1; n <= eventCount; n++ {
+		b.WriteString(formatEvent(n))
 	}
 	return b.String()
 }
 
-// streamFrom writes the events after the one that the request names, up to
-// last; then, if it is not the end, half an event and a broken connection.
+// streamFrom writes the events after the one given in the request, up to last. If that
+// isn't the final event, it then writes an incomplete event and closes the connection.
 func streamFrom(last int) reply {
 	return func(r *http.Request, w io.Writer) bool {
 		after, _ := strconv.Atoi(r.Header.Get("After-Event"))
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nTry: %s\r\nSeal: from-%d\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 			r.Header.Get("Try"), after)
 		for n := after + 1; n <= last; n++ {
-			e := event(n)
+			e := formatEvent(n)
 			fmt.Fprintf(w, "%x\r\n%s\r\n", len(e), e)
 		}
-		if last < events {
+		if last < eventCount {
 			_, _ = io.WriteString(w, "8\r\nid: 99\nd\r\n")
 			return false
 		}
@@ -43,58 +43,59 @@
 
 func TestStreams(t *testing.T) {
 	for name, tc := range map[string]struct {
-		path    string
-		answers []reply
-		whole   bool
-		runs    int
+		path     string
+		answers  []reply
+		complete bool
+		runs     int
 	}{
-		"whole":                          {"/resume/", []reply{streamFrom(events)}, true, 1},
-		"resumed after a break":          {"/resume/", []reply{streamFrom(3), streamFrom(3)}, false, 2},
-		"not to be resumed":              {"/stream/", []reply{streamFrom(3), streamFrom(events)}, false, 1},
-		"broken before the first, twice": {"/resume/", []reply{streamFrom(0), streamFrom(0)}, false, 2},
+		"complete stream":                      {"/resume/", []reply{streamFrom(eventCount)}, true, 1},
+		"breaks again after a resume":          {"/resume/", []reply{streamFrom(3), streamFrom(3)}, false, 2},
+		"not resumable":                        {"/stream/", []reply{streamFrom(3), streamFrom(eventCount)}, false, 1},
+		"broken before the first event, twice": {"/resume/", []reply{streamFrom(0), streamFrom(0)}, false, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(t, tc.answers...)
-			a := f.ask("POST", tc.path, "b")
-			if whole := a.err == nil && a.status == 200; whole != tc.whole || f.runs() != tc.runs {
-				t.Errorf("status %d, error %v after %d runs, want whole %v after %d", a.status, a.err, f.runs(), tc.whole, tc.runs)
+			a := f.do("POST", tc.path, "b")
+			if complete := a.err == nil && a.status == 200; complete != tc.complete || f.requestCount() != tc.runs {
+				t.Errorf("status %d, error %v after %d runs, want a complete stream: %v, after %d", a.status, a.err, f.requestCount(), tc.complete, tc.runs)
 			}
-			if tc.whole && a.body != allEvents() {
-				t.Errorf("the caller got %q", a.body)
+			if tc.complete && a.body != allEvents() {
+				t.Errorf("the caller received %q", a.body)
 			}
 			if !strings.HasPrefix(allEvents(), a.body) && a.status == 200 {
-				t.Errorf("the caller got pieces that don't join: %q", a.body)
+				t.Errorf("the caller received events with gaps or duplicates: %q", a.body)
 			}
 		})
 	}
 }
 
-// TestResumedStreamIsOneAnswer has each server break once after its first
-// events, so that whichever is first, the other goes on.
+// TestResumedStreamIsOneAnswer lets each server break off a stream after the first
+// events unless it resumes one. Whichever server is chosen first, the other one resumes
+// the stream.
 func TestResumedStreamIsOneAnswer(t *testing.T) {
-	breaks := func(r *http.Request, w io.Writer) bool {
+	breakOnce := func(r *http.Request, w io.Writer) bool {
 		if r.Header.Get("After-Event") == "" {
 			return streamFrom(3)(r, w)
 		}
-		return streamFrom(events)(r, w)
+		return streamFrom(eventCount)(r, w)
 	}
-	f := start(t, breaks, breaks)
-	a := f.ask("POST", "/resume/", "b")
+	f := start(t, breakOnce, breakOnce)
+	a := f.do("POST", "/resume/", "b")
 	if a.err != nil || a.status != 200 || a.body != allEvents() {
 		t.Fatalf("got %d %v %q", a.status, a.err, a.body)
 	}
 	if a.header.Get("Seal") != "from-0" {
-		t.Errorf("the answer has the head of run %q, want that of the first", a.header.Get("Seal"))
+		t.Errorf("the answer has the head of try %q, want that of the first one", a.header.Get("Seal"))
 	}
-	if f.runs() != 2 {
-		t.Errorf("%d runs, want 2", f.runs())
+	if f.requestCount() != 2 {
+		t.Errorf("%d runs, want 2", f.requestCount())
 	}
 }
 
-func TestCallerResumes(t *testing.T) {
-	f := start(t, streamFrom(events))
-	a := f.ask("POST", "/resume/", "b", "After-Event", "4")
-	if a.err != nil || a.body != event(5)+event(6) {
+func TestCallerResumesStream(t *testing.T) {
+	f := start(t, streamFrom(eventCount))
+	a := f.do("POST", "/resume/", "b", "After-Event", "4")
+	if a.err != nil || a.body != formatEvent(5)+formatEvent(6) {
 		t.Errorf("got %v %q", a.err, a.body)
 	}
 }
--- a/daemon/gateway/suspects_test.go
+++ b/daemon/gateway/suspects_test.go
@@ -10,12 +10,12 @@
 	"slipcrank.example/daemon/gateway"
 )
 
-// TestHelperThatEndsIsEvidence has a server end that reads a part of a prompt for
-// another one. The connection to the lead breaks, and the lead lives on.
-func TestHelperThatEndsIsEvidence(t *testing.T) {
-	book := quarantine.NewRegistry()
+// TestHelperCrashIsEvidence crashes a helper that reads a part of a prompt. This breaks
+// the connection to the lead, although the lead is alive.
+func TestHelperCrashIsEvidence(t *testing.T) {
+	registry := quarantine.NewRegistry()
 	var f *fixture
-	ends := func(r *http.Request, _ io.Writer) bool {
+	crash := func(r *http.Request, _ io.Writer) bool {
 		for _, s := range f.servers {
 			if strings.Contains(r.Header.Get("Readers"), s.addr) {
 				_ = s.listener.Close()
@@ -23,45 +23,45 @@
 		}
 		return false
 	}
-	f = startWith(t, []gateway.Option{gateway.WithQuarantine(book, func() {})}, ends, ends)
-	f.ask("POST", "/split/", "b", "Size", "60000,10")
-	if n := len(book.Records()); n != 1 {
-		t.Fatalf("%d suspects are known, want 1", n)
+	f = startWith(t, []gateway.Option{gateway.WithQuarantine(registry, func() {})}, crash, crash)
+	f.do("POST", "/split/", "b", "Size", "60000,10")
+	if n := len(registry.Records()); n != 1 {
+		t.Fatalf("%d suspects, want 1", n)
 	}
-	if r := book.Records()[0]; len(r.Crashes) != 1 || r.Crashes[0].Isolated {
-		t.Errorf("known of the suspect: %+v", r)
+	if r := registry.Records()[0]; len(r.Crashes) != 1 || r.Crashes[0].Isolated {
+		t.Errorf("record of the suspect: %+v", r)
 	}
 }
 
-// TestBreakAloneIsNoEvidence breaks each answer on servers that live on.
-func TestBreakAloneIsNoEvidence(t *testing.T) {
-	book := quarantine.NewRegistry()
+// TestBrokenConnectionIsNoEvidence breaks off all answers, on servers that stay alive.
+func TestBrokenConnectionIsNoEvidence(t *testing.T) {
+	registry := quarantine.NewRegistry()
 	closes := func(*http.Request, io.Writer) bool { return false }
-	f := startWith(t, []gateway.Option{gateway.WithQuarantine(book, func() {})}, closes, closes, closes)
+	f := startWith(t, []gateway.Option{gateway.WithQuarantine(registry, func() {})}, closes, closes, closes)
 	for range 5 {
-		f.ask("POST", "/safe/", "b")
+		f.do("POST", "/safe/", "b")
 	}
-	if n := len(book.Records()); n != 0 {
-		t.Errorf("%d suspects are known", n)
+	if n := len(registry.Records()); n != 0 {
+		t.Errorf("%d suspects, want none", n)
 	}
 }
 
-// TestEachEndIsToldAtOnce ends two servers under one request, by the word of this host
-// alone: the second end changes nothing in what becomes of the request, and others have
-// to know of it all the same, to look at that server too.
-func TestEachEndIsToldAtOnce(t *testing.T) {
-	book, told := quarantine.NewRegistry(), 0
+// TestEachCrashIsReported crashes two servers with the same request, observed by this
+// host alone. The second crash doesn't change the stage of the request. It must be
+// reported to other hosts nevertheless, so that they probe the second server too.
+func TestEachCrashIsReported(t *testing.T) {
+	registry, reports := quarantine.NewRegistry(), 0
 	var f *fixture
-	ends := func(n int) reply {
+	crash := func(n int) reply {
 		return func(*http.Request, io.Writer) bool {
 			_ = f.servers[n].listener.Close()
 			return false
 		}
 	}
-	others := func() []quarantine.Host { return []quarantine.Host{{Number: 9}} }
-	f = startWith(t, []gateway.Option{gateway.WithQuarantine(book, func() { told++ }), gateway.WithHosts(others)}, ends(0), ends(1))
-	f.ask("GET", "/safe/", "")
-	if r := book.Records(); len(r) != 1 || len(r[0].Crashes) != 2 || told != 2 {
-		t.Errorf("others were told %d times of %+v, want twice of two ends", told, r)
+	otherHosts := func() []quarantine.Host { return []quarantine.Host{{Number: 9}} }
+	f = startWith(t, []gateway.Option{gateway.WithQuarantine(registry, func() { reports++ }), gateway.WithHosts(otherHosts)}, crash(0), crash(1))
+	f.do("GET", "/safe/", "")
+	if r := registry.Records(); len(r) != 1 || len(r[0].Crashes) != 2 || reports != 2 {
+		t.Errorf("%d reports of %+v, want two reports of two crashes", reports, r)
 	}
 }
