--- a/daemon/gateway/request.go
+++ b/daemon/gateway/request.go
@@ -50,7 +50,7 @@
 		ID:       c.id,
 
 		NewConnection: c.silent,
-		Allowed:       func() error { return g.allowed(c, p) },
+		BeforeSend:    func() error { return g.allowed(c, p) },
 	}
 }
 
--- a/daemon/gateway/shares.go
+++ b/daemon/gateway/shares.go
@@ -85,6 +85,6 @@
 	g.checkSuspects(g.clock.Now())
 	g.forgetNotices(g.clock.Now())
 	for _, s := range g.exchanges.giveUp(g.state().Servers.Replaced, g.clock.Now()) {
-		g.pool.Drop(s.Addr) // connections of the start that is over
+		g.pool.CloseIdle(s.Addr) // connections of the start that is over
 	}
 }
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -130,7 +130,7 @@
 }
 
 // closed reports whether a server's port is found closed.
-func (g *Gateway) closed(s backend.Server) bool { return upstream.Closed(g.probe(s)) }
+func (g *Gateway) closed(s backend.Server) bool { return upstream.PortClosed(g.probe(s)) }
 
 // probe looks whether a server takes connections. Calls that ask for one server
 // together look once.
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -224,7 +224,7 @@
 	if out.result == failed && errors.Is(context.Cause(ctx), errSilent) {
 		out.why, out.broken = "server_silent", false
 		c.silent = true
-		g.pool.Drop(server.Addr)
+		g.pool.CloseIdle(server.Addr)
 	}
 	return out
 }
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -58,8 +58,8 @@
 var (
 	// ErrNotSent marks a request of which no byte has left this host.
 	ErrNotSent = errors.New("nothing was sent to the backend server")
-	// ErrCrossed is an answer to another request.
-	ErrCrossed = errors.New("the answer belongs to another request")
+	// ErrIDMismatch is an answer to another request.
+	ErrIDMismatch = errors.New("the answer belongs to another request")
 
 	errDropped = errors.New("it was closed at once")
 )
@@ -77,8 +77,8 @@
 		IDHeader, ID string
 		// NewConnection asks for one that was not kept.
 		NewConnection bool
-		// Allowed is asked last before the first byte leaves; nil allows.
-		Allowed func() error
+		// BeforeSend is asked last before the first byte leaves; nil allows.
+		BeforeSend func() error
 	}
 
 	// Answer is a backend server's. Its body is read as it comes.
@@ -165,8 +165,8 @@
 		return nil, errors.Mark(errors.Wrapf(err, "connect to %s", addr), ErrNotSent)
 	}
 	stop := context.AfterFunc(ctx, c.end)
-	if r.Allowed != nil {
-		if err := r.Allowed(); err != nil {
+	if r.BeforeSend != nil {
+		if err := r.BeforeSend(); err != nil {
 			p.discard(c, stop)
 			return nil, errors.Mark(err, ErrNotSent)
 		}
@@ -203,7 +203,7 @@
 		}
 		if id := resp.Header.Get(r.IDHeader); r.ID != "" && id != "" && id != r.ID {
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
-				return nil, ErrCrossed
+				return nil, ErrIDMismatch
 			}
 			continue
 		}
@@ -215,7 +215,7 @@
 			resp:   resp,
 		}, nil
 	}
-	return nil, ErrCrossed
+	return nil, ErrIDMismatch
 }
 
 // Finish notes that the body was read to its end, so that the connection may
@@ -293,7 +293,7 @@
 }
 
 // Probe reports whether a server takes connections and leaves them open. The one
-// that it opens is kept for requests. An error that [Closed] reports says that the
+// that it opens is kept for requests. An error that [PortClosed] reports says that the
 // server isn't there; others say nothing of it.
 func (p *Pool) Probe(ctx context.Context, addr string) error {
 	c, err := p.connection(ctx, addr, true)
@@ -308,14 +308,14 @@
 	return nil
 }
 
-// Closed reports whether err says that a host is there and no server: its port is
+// PortClosed reports whether err says that a host is there and no server: its port is
 // closed, or a proxy before the server took the connection and closed it.
-func Closed(err error) bool { return errors.IsAny(err, syscall.ECONNREFUSED, errDropped) }
+func PortClosed(err error) bool { return errors.IsAny(err, syscall.ECONNREFUSED, errDropped) }
 
-// Drop closes the kept connections to a server. Connections may fall silent all
+// CloseIdle closes the kept connections to a server. Connections may fall silent all
 // at once and without a reset, while new ones work; each that is tried costs a
 // request its time.
-func (p *Pool) Drop(addr string) {
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drop(addr)
--- a/daemon/upstream/upstream_test.go
+++ b/daemon/upstream/upstream_test.go
@@ -133,7 +133,7 @@
 	}
 	r := request()
 	no := errors.New("no longer allowed")
-	r.Allowed = func() error { return no }
+	r.BeforeSend = func() error { return no }
 	addr := serve(t, func(int) string { return fine })
 	if _, err := ask(t, upstream.New(), addr, r); !upstream.NotSent(err) || !errors.Is(err, no) {
 		t.Errorf("not allowed: %v", err)
@@ -199,7 +199,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := upstream.New()
 			err := p.Probe(t.Context(), tc.addr)
-			if upstream.Closed(err) != tc.closed || (err == nil) == tc.closed {
+			if upstream.PortClosed(err) != tc.closed || (err == nil) == tc.closed {
 				t.Errorf("found %v, want closed %v", err, tc.closed)
 			}
 		})
