--- a/daemon/entry/readers.go
+++ b/daemon/entry/readers.go
@@ -232,7 +232,7 @@
 	}
 	r.choice = c
 	e.watcher.SetAsking(c.asking, c.pause)
-	e.relays.Hear(c.hear)
+	e.relays.SetServers(c.hear)
 	e.log.Write(event.RelayChosen, slog.Bool("asks", c.asking != watch.AskNothing), slog.String("hears", strings.Join(c.hear, ",")),
 		slog.Int("others", e.neighbors.Load().others))
 }
@@ -260,7 +260,7 @@
 			continue
 		}
 		heard := mates[h.Name] && e.board.HeardFrom(h.Number, e.clock.Now())
-		if all || heard || !mates[h.Name] && !e.relays.Lost(h.Addr) {
+		if all || heard || !mates[h.Name] && !e.relays.Unreachable(h.Addr) {
 			live = append(live, h)
 		}
 	}
--- a/daemon/entry/stop.go
+++ b/daemon/entry/stop.go
@@ -44,7 +44,7 @@
 		e.log.Write(event.DaemonStopped)
 	}
 	_ = e.callers.Close() // what is open ends here in any case
-	e.relays.Hear(nil)
+	e.relays.SetServers(nil)
 	e.relay.Stop()
 	e.cancel()
 	_ = e.news.Close()
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -174,8 +174,8 @@
 	return &Client{watcher: w, log: l, streams: map[string]context.CancelFunc{}, lost: map[string]time.Time{}}
 }
 
-// Hear hears the servers at these addresses from now on, and no others.
-func (c *Client) Hear(addrs []string) {
+// SetServers hears the servers at these addresses from now on, and no others.
+func (c *Client) SetServers(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wanted := map[string]bool{}
@@ -195,8 +195,8 @@
 	}
 }
 
-// Lost reports whether a server was tried lately and could not be heard.
-func (c *Client) Lost(addr string) bool {
+// Unreachable reports whether a server was tried lately and could not be heard.
+func (c *Client) Unreachable(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	at, ok := c.lost[addr]
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -85,8 +85,8 @@
 func hear(t *testing.T, w *watch.Watcher, addrs ...string) {
 	t.Helper()
 	c := relay.NewClient(w, decision.New(io.Discard))
-	c.Hear(addrs)
-	t.Cleanup(func() { c.Hear(nil) })
+	c.SetServers(addrs)
+	t.Cleanup(func() { c.SetServers(nil) })
 }
 
 func eventually(t *testing.T, what string, f func() bool) {
@@ -219,14 +219,14 @@
 	here := serve(t, reader)
 	const nowhere = "127.0.0.1:1"
 	c := relay.NewClient(other, decision.New(io.Discard))
-	t.Cleanup(func() { c.Hear(nil) })
-	c.Hear([]string{here, nowhere})
+	t.Cleanup(func() { c.SetServers(nil) })
+	c.SetServers([]string{here, nowhere})
 	eventually(t, "one is lost and the other is not", func() bool {
 		_, told := other.ToldAge()
-		return told && c.Lost(nowhere) && !c.Lost(here)
+		return told && c.Unreachable(nowhere) && !c.Unreachable(here)
 	})
-	c.Hear([]string{here})
-	if !c.Lost(nowhere) {
+	c.SetServers([]string{here})
+	if !c.Unreachable(nowhere) {
 		t.Error("a server counts as alive once it is no longer tried")
 	}
 }
@@ -238,13 +238,13 @@
 	current.Store(3)
 	reader, other := watcher(t, func() int { return int(current.Load()) }), watcher(t, nil)
 	c := relay.NewClient(other, decision.New(io.Discard))
-	t.Cleanup(func() { c.Hear(nil) })
+	t.Cleanup(func() { c.SetServers(nil) })
 	here := serve(t, reader)
-	c.Hear([]string{here})
+	c.SetServers([]string{here})
 	eventually(t, "the configuration is known", inForce(other, 3))
 	current.Store(-1)
 	for end := time.Now().Add(3500 * time.Millisecond); time.Now().Before(end); {
-		if c.Lost(here) {
+		if c.Unreachable(here) {
 			t.Fatal("the stream was given up although its server lives")
 		}
 		_ = pause.For(context.Background(), poll) // never ends early
@@ -260,11 +260,11 @@
 	current.Store(-1)
 	reader, other := watcher(t, func() int { return int(current.Load()) }), watcher(t, nil)
 	c := relay.NewClient(other, decision.New(io.Discard))
-	t.Cleanup(func() { c.Hear(nil) })
+	t.Cleanup(func() { c.SetServers(nil) })
 	here := serve(t, reader)
-	c.Hear([]string{here})
+	c.SetServers([]string{here})
 	for end := time.Now().Add(700 * time.Millisecond); time.Now().Before(end); {
-		if c.Lost(here) {
+		if c.Unreachable(here) {
 			t.Fatal("a server that lives counts as lost")
 		}
 		_ = pause.For(context.Background(), poll) // never ends early
