--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -146,7 +146,7 @@
 	e.gateway = gateway.New(p.Dialect, e.state, e.pool, e.board, budget, e.log, e.metrics,
 		gateway.WithHall(s.Hall),
 		gateway.WithClock(e.clock),
-		gateway.WithMemory(memory.New(p.Orders, e.log, memory.WithGate(e.takesOrder))),
+		gateway.WithMemory(memory.New(p.Orders, e.log, memory.WithLimiter(e.takesOrder))),
 		gateway.WithProof(gateway.Proof{Keys: e.keysTrusted, Config: e.configCurrent, Age: e.proofAge, Servers: e.serversAge}),
 		gateway.WithNews(n.Placed, n.Started, n.Ended),
 		gateway.WithQuarantine(e.quarantine, e.suspectsChanged),
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -81,7 +81,7 @@
 		clock          *boottime.Clock
 		stop           atomic.Pointer[stop]
 		active         atomic.Int64
-		memory         *memory.Keeper // nil if none can be set aside
+		memory         *memory.Reserver // nil if none can be set aside
 		shares         *shares
 		exchanges      *exchanges
 		quarantine     *quarantine.Registry
@@ -155,7 +155,7 @@
 func WithClock(c *boottime.Clock) Option { return func(g *Gateway) { g.clock = c } }
 
 // WithMemory sets what sets memory of backend servers aside.
-func WithMemory(k *memory.Keeper) Option { return func(g *Gateway) { g.memory = k } }
+func WithMemory(k *memory.Reserver) Option { return func(g *Gateway) { g.memory = k } }
 
 // New returns a gateway.
 func New(d Dialect, state func() State, pool *upstream.Pool, board *schedule.Board, budget *limit.RetryWindow,
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -182,7 +182,7 @@
 		gateway.WithMemory(memory.New(memory.Orders{
 			Reserve: func(context.Context, string, string, int, time.Duration) error {
 				f.reserved.Add(1)
-				return memory.ErrNoRoom
+				return memory.ErrInsufficientMemory
 			},
 			Release: func(context.Context, string, string) error { return nil },
 		}, l)),
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -141,16 +141,16 @@
 }
 
 // hold sets memory aside on the helpers of a placement that need it.
-func (g *Gateway) hold(ctx context.Context, s State, p schedule.Placement) (*memory.Hold, error) {
+func (g *Gateway) hold(ctx context.Context, s State, p schedule.Placement) (*memory.Reservation, error) {
 	if len(p.Shares) == 0 || g.memory == nil {
 		return nil, nil
 	}
-	parts := make([]memory.Part, 0, len(p.Shares))
+	parts := make([]memory.Share, 0, len(p.Shares))
 	for _, h := range p.Shares {
 		b, _ := s.Servers.Get(h.Server)
-		parts = append(parts, memory.Part{Addr: b.Addr, Tokens: h.Tokens})
+		parts = append(parts, memory.Share{Addr: b.Addr, Tokens: h.Tokens})
 	}
-	return g.memory.Hold(ctx, ticket(p.ID), parts)
+	return g.memory.Reserve(ctx, ticket(p.ID), parts)
 }
 
 // ticket names the reservations of a placement.
--- a/daemon/memory/memory.go
+++ b/daemon/memory/memory.go
@@ -48,8 +48,8 @@
 )
 
 var (
-	// ErrNoRoom is a server that has not enough free memory.
-	ErrNoRoom = errors.New("the backend server has no room for the reservation")
+	// ErrInsufficientMemory is a server that has not enough free memory.
+	ErrInsufficientMemory = errors.New("the backend server has no room for the reservation")
 
 	errLimited = errors.New("the backend server takes no order now, by the limit that it names")
 )
@@ -64,28 +64,28 @@
 		Release func(ctx context.Context, addr, id string) error
 	}
 
-	// Part is the memory that is wanted of one server.
-	Part struct {
+	// Share is the memory that is wanted of one server.
+	Share struct {
 		Addr   string
 		Tokens int
 	}
 
-	// Keeper makes and keeps reservations. It is safe for use by many
+	// Reserver makes and keeps reservations. It is safe for use by many
 	// goroutines.
-	Keeper struct {
+	Reserver struct {
 		orders Orders
 		log    *decision.Log
 		gate   func(ctx context.Context, addr string) (bool, time.Duration)
 	}
 
 	// Option changes a keeper under construction.
-	Option func(*Keeper)
+	Option func(*Reserver)
 
-	// Hold is a set of reservations with one ID.
-	Hold struct {
-		keeper *Keeper
+	// Reservation is a set of reservations with one ID.
+	Reservation struct {
+		keeper *Reserver
 		id     string
-		parts  []Part
+		parts  []Share
 		cancel context.CancelFunc
 		done   sync.WaitGroup
 
@@ -94,15 +94,15 @@
 	}
 )
 
-// WithGate sets what is asked before each order whether a server takes it, and after
+// WithLimiter sets what is asked before each order whether a server takes it, and after
 // how long it does if not.
-func WithGate(f func(ctx context.Context, addr string) (bool, time.Duration)) Option {
-	return func(k *Keeper) { k.gate = f }
+func WithLimiter(f func(ctx context.Context, addr string) (bool, time.Duration)) Option {
+	return func(k *Reserver) { k.gate = f }
 }
 
 // New returns a keeper.
-func New(o Orders, l *decision.Log, os ...Option) *Keeper {
-	k := &Keeper{
+func New(o Orders, l *decision.Log, os ...Option) *Reserver {
+	k := &Reserver{
 		orders: o, log: l,
 		gate: func(context.Context, string) (bool, time.Duration) { return true, 0 },
 	}
@@ -112,10 +112,10 @@
 	return k
 }
 
-// Hold makes all reservations or none, and renews them until Release. The ID
+// Reserve makes all reservations or none, and renews them until Release. The ID
 // must be used once only.
-func (k *Keeper) Hold(ctx context.Context, id string, parts []Part) (*Hold, error) {
-	h := &Hold{keeper: k, id: id, parts: parts, late: map[string]bool{}}
+func (k *Reserver) Reserve(ctx context.Context, id string, parts []Share) (*Reservation, error) {
+	h := &Reservation{keeper: k, id: id, parts: parts, late: map[string]bool{}}
 	var g errgroup.Group
 	for _, p := range parts {
 		g.Go(func() error { return h.reserve(ctx, p, 0) })
@@ -134,14 +134,14 @@
 
 // reserve makes or renews one reservation. It waits so long for a server that takes no
 // order now.
-func (h *Hold) reserve(ctx context.Context, p Part, wait time.Duration) error {
+func (h *Reservation) reserve(ctx context.Context, p Share, wait time.Duration) error {
 	if !h.permitted(ctx, p, wait) {
 		return errLimited
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTime)
 	defer cancel()
 	err := h.keeper.orders.Reserve(ctx, p.Addr, h.id, p.Tokens, holdTime)
-	if err != nil && !errors.Is(err, ErrNoRoom) {
+	if err != nil && !errors.Is(err, ErrInsufficientMemory) {
 		h.mu.Lock()
 		h.late[p.Addr] = true
 		h.mu.Unlock()
@@ -150,7 +150,7 @@
 }
 
 // permitted reports whether a server takes an order, if need be after a wait.
-func (h *Hold) permitted(ctx context.Context, p Part, most time.Duration) bool {
+func (h *Reservation) permitted(ctx context.Context, p Share, most time.Duration) bool {
 	for begun := time.Now(); ; {
 		ok, wait := h.keeper.gate(ctx, p.Addr)
 		if ok {
@@ -163,7 +163,7 @@
 }
 
 // renew keeps one reservation alive.
-func (h *Hold) renew(ctx context.Context, p Part) {
+func (h *Reservation) renew(ctx context.Context, p Share) {
 	for pause.For(ctx, renewal) == nil {
 		if err := h.reserve(ctx, p, renewal); err != nil && ctx.Err() == nil {
 			h.keeper.log.Write(event.OrderFailed, slog.String("doing", "renew"), slog.String("id", h.id),
@@ -174,7 +174,7 @@
 
 // Release gives the memory back. It returns at once; the orders go on in the
 // background.
-func (h *Hold) Release() {
+func (h *Reservation) Release() {
 	h.cancel()
 	go func() {
 		h.done.Wait()
@@ -186,7 +186,7 @@
 
 // release releases one reservation. One that a limited server can't be told of lapses by
 // itself.
-func (h *Hold) release(p Part) {
+func (h *Reservation) release(p Share) {
 	h.mu.Lock()
 	late := h.late[p.Addr]
 	h.mu.Unlock()
@@ -205,7 +205,7 @@
 	}
 }
 
-func (h *Hold) sendRelease(p Part) error {
+func (h *Reservation) sendRelease(p Share) error {
 	if !h.permitted(context.Background(), p, latePause) {
 		return errLimited
 	}
--- a/daemon/memory/memory_test.go
+++ b/daemon/memory/memory_test.go
@@ -35,7 +35,7 @@
 	defer s.mu.Unlock()
 	s.orders = append(s.orders, time.Now())
 	if s.refuse {
-		return memory.ErrNoRoom
+		return memory.ErrInsufficientMemory
 	}
 	if s.lose > 0 {
 		s.lose--
@@ -63,7 +63,7 @@
 	return time.Now().Before(s.until)
 }
 
-func keeper(servers map[string]*server, l *decision.Log, os ...memory.Option) *memory.Keeper {
+func keeper(servers map[string]*server, l *decision.Log, os ...memory.Option) *memory.Reserver {
 	return memory.New(memory.Orders{
 		Reserve: func(_ context.Context, addr, _ string, _ int, hold time.Duration) error {
 			return servers[addr].reserve(hold)
@@ -96,7 +96,7 @@
 				l := decision.New(io.Discard)
 				defer l.Close()
 				servers := map[string]*server{"a": tc.a, "b": tc.b}
-				h, err := keeper(servers, l).Hold(context.Background(), "id", []memory.Part{{Addr: "a", Tokens: 5}, {Addr: "b", Tokens: 5}})
+				h, err := keeper(servers, l).Reserve(context.Background(), "id", []memory.Share{{Addr: "a", Tokens: 5}, {Addr: "b", Tokens: 5}})
 				if (err == nil) != tc.held {
 					t.Fatalf("got %v", err)
 				}
@@ -137,15 +137,15 @@
 		defer l.Close()
 		s, ledger, begun := &server{}, grant.NewBuckets(), time.Now()
 		var limited atomic.Bool
-		k := keeper(map[string]*server{"a": s}, l, memory.WithGate(func(context.Context, string) (bool, time.Duration) {
+		k := keeper(map[string]*server{"a": s}, l, memory.WithLimiter(func(context.Context, string) (bool, time.Duration) {
 			if !limited.Load() {
 				return true, 0
 			}
 			return ledger.Take("a", limit, time.Since(begun))
 		}))
-		var holds []*memory.Hold
+		var holds []*memory.Reservation
 		for n := range 8 {
-			h, err := k.Hold(t.Context(), fmt.Sprint(n), []memory.Part{{Addr: "a", Tokens: 1}})
+			h, err := k.Reserve(t.Context(), fmt.Sprint(n), []memory.Share{{Addr: "a", Tokens: 1}})
 			if err != nil {
 				t.Fatal(err)
 			}
