--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -89,7 +89,7 @@
 		// notices are what servers have said of themselves.
 		notices *notice.Registry
 		// grants hands out the requests that limited servers take from all hosts.
-		grants *grants.Keeper
+		grants *grants.Coordinator
 		// changed wakes who stores suspects, and known who routes news, since other hosts
 		// have changed.
 		changed  chan struct{}
@@ -160,7 +160,7 @@
 	)
 	n.OnSuspects(e.hearSuspects)
 	n.OnNotices(news.Notices{
-		Ask: e.grants.Answer, Reply: e.grants.Answered, Limit: e.hearLimit, Leaves: e.hearLeaving,
+		Ask: e.grants.HandleRequest, Reply: e.grants.HandleReply, Limit: e.hearLimit, Leaves: e.hearLeaving,
 		Placed: e.gateway.HearPlaced,
 	})
 	return e, nil
@@ -295,7 +295,7 @@
 			if n++; n%sweepEvery == 0 {
 				servers := e.watcher.State().Servers
 				e.pool.Sweep(servers.HasAddr)
-				e.grants.Keep(func(server string) bool { _, ok := servers.Get(server); return ok })
+				e.grants.Retain(func(server string) bool { _, ok := servers.Get(server); return ok })
 			}
 		}
 	}
--- a/daemon/grants/grants.go
+++ b/daemon/grants/grants.go
@@ -46,9 +46,9 @@
 		Number uint32
 	}
 
-	// Keeper takes requests of limited servers, from its own ledger or another host's.
+	// Coordinator takes requests of limited servers, from its own ledger or another host's.
 	// It is safe for use by many goroutines.
-	Keeper struct {
+	Coordinator struct {
 		self    grant.Host
 		notices *notice.Registry
 		send    func(to netip.AddrPort, q grant.Request)
@@ -66,8 +66,8 @@
 )
 
 // New returns a keeper that knows no other hosts.
-func New(name, hall string, b *notice.Registry, send func(to netip.AddrPort, q grant.Request), now func() time.Duration) *Keeper {
-	return &Keeper{
+func New(name, hall string, b *notice.Registry, send func(to netip.AddrPort, q grant.Request), now func() time.Duration) *Coordinator {
+	return &Coordinator{
 		self: grant.Host{Name: name, Hall: hall}, notices: b, send: send, now: now,
 		ledger:  grant.NewBuckets(),
 		byName:  map[string]Host{},
@@ -78,7 +78,7 @@
 }
 
 // SetHosts sets the other hosts, in an order that stays.
-func (k *Keeper) SetHosts(hosts []Host) {
+func (k *Coordinator) SetHosts(hosts []Host) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if slices.Equal(hosts, k.hosts) {
@@ -95,7 +95,7 @@
 
 // Take takes one request of a server. If it may not have one now, Take reports false
 // and after how long it may.
-func (k *Keeper) Take(ctx context.Context, s backend.Server) (bool, time.Duration) {
+func (k *Coordinator) Take(ctx context.Context, s backend.Server) (bool, time.Duration) {
 	l := k.notices.Limit(s.ID)
 	if !l.Limited {
 		return true, 0
@@ -115,9 +115,9 @@
 	return false, otherWait
 }
 
-// Answer answers a question of another host. One that isn't known yet is granted
+// HandleRequest answers a question of another host. One that isn't known yet is granted
 // nothing, but sees that this host is there.
-func (k *Keeper) Answer(host uint32, q grant.Request) grant.Reply {
+func (k *Coordinator) HandleRequest(host uint32, q grant.Request) grant.Reply {
 	r := grant.Reply{ID: q.ID, Server: q.Server, Wait: otherWait}
 	if !k.heard(host) {
 		r.Limit = k.notices.Limit(q.Server)
@@ -140,8 +140,8 @@
 	return r
 }
 
-// Keep drops what is kept of servers that aren't listed any more.
-func (k *Keeper) Keep(listed func(server string) bool) {
+// Retain drops what is kept of servers that aren't listed any more.
+func (k *Coordinator) Retain(listed func(server string) bool) {
 	k.ledger.Retain(listed)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -152,8 +152,8 @@
 	}
 }
 
-// Answered takes in an answer of another host.
-func (k *Keeper) Answered(host uint32, r grant.Reply) {
+// HandleReply takes in an answer of another host.
+func (k *Coordinator) HandleReply(host uint32, r grant.Reply) {
 	if !k.heard(host) {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // heard notes that a host has said something, and reports whether it is known.
-func (k *Keeper) heard(number uint32) bool {
+func (k *Coordinator) heard(number uint32) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	i := slices.IndexFunc(k.hosts, func(h Host) bool { return h.Number == number })
@@ -181,7 +181,7 @@
 // holders returns the host that holds a server's bucket and the next one, of those
 // before this host; none if this one holds it. Hosts that are silent are asked whether
 // they are back.
-func (k *Keeper) holders(server, hall string) []Host {
+func (k *Coordinator) holders(server, hall string) []Host {
 	now := k.now()
 	var holders, silent []Host
 	k.mu.Lock()
@@ -204,7 +204,7 @@
 
 // order returns the names of all hosts in the order in which they hold a server's bucket.
 // The keeper is locked.
-func (k *Keeper) order(server, hall string) []string {
+func (k *Coordinator) order(server, hall string) []string {
 	if order, known := k.orders[server]; known {
 		return order
 	}
@@ -217,7 +217,7 @@
 }
 
 // ask asks a host, and reports whether it has answered.
-func (k *Keeper) ask(ctx context.Context, h Host, q grant.Request) (grant.Reply, bool) {
+func (k *Coordinator) ask(ctx context.Context, h Host, q grant.Request) (grant.Reply, bool) {
 	c := make(chan grant.Reply, 1)
 	k.mu.Lock()
 	k.next++
@@ -243,7 +243,7 @@
 }
 
 // ping asks whether a host is there, unless it was asked a moment ago.
-func (k *Keeper) ping(h Host) {
+func (k *Coordinator) ping(h Host) {
 	now := k.now()
 	k.mu.Lock()
 	ago, open := k.reach.SinceUnanswered(h.Name, now)
--- a/daemon/grants/grants_test.go
+++ b/daemon/grants/grants_test.go
@@ -49,7 +49,7 @@
 
 	host struct {
 		Host
-		keeper *Keeper
+		keeper *Coordinator
 	}
 )
 
@@ -103,9 +103,9 @@
 		if pause.For(context.Background(), way) != nil || !f.passes(from, f.hosts[i]) {
 			return
 		}
-		r := f.hosts[i].keeper.Answer(from.Number, q)
+		r := f.hosts[i].keeper.HandleRequest(from.Number, q)
 		if pause.For(context.Background(), way) == nil && f.passes(f.hosts[i], from) {
-			from.keeper.Answered(f.hosts[i].Number, r)
+			from.keeper.HandleReply(f.hosts[i].Number, r)
 		}
 	})
 }
