--- a/daemon/callers/server.go
+++ b/daemon/callers/server.go
@@ -56,7 +56,7 @@
 	Server struct {
 		loop     *control.Loop
 		dispatch *dispatch.Dispatcher
-		calls    *calls.Caller
+		calls    *calls.Client
 		once     *calls.Once
 		old      *oldsite.Client
 		metrics  *telemetry.Metrics
@@ -94,7 +94,7 @@
 func WithOldSite(c *oldsite.Client) Option { return func(s *Server) { s.old = c } }
 
 // New returns a server.
-func New(l *control.Loop, d *dispatch.Dispatcher, c *calls.Caller, os ...Option) (*Server, error) {
+func New(l *control.Loop, d *dispatch.Dispatcher, c *calls.Client, os ...Option) (*Server, error) {
 	s := &Server{
 		loop:     l,
 		dispatch: d,
--- a/daemon/calls/calls.go
+++ b/daemon/calls/calls.go
@@ -49,8 +49,8 @@
 		OldSite bool
 	}
 
-	// Caller sends calls. It is safe for use by many goroutines.
-	Caller struct {
+	// Client sends calls. It is safe for use by many goroutines.
+	Client struct {
 		loop     *control.Loop
 		web      *web.Client
 		once     *Once
@@ -59,19 +59,19 @@
 	}
 
 	// Option changes a caller under construction.
-	Option func(*Caller)
+	Option func(*Client)
 )
 
 // WithBudgets sets the retry budgets.
-func WithBudgets(b *limit.RetryBudgets) Option { return func(c *Caller) { c.budgets = b } }
+func WithBudgets(b *limit.RetryBudgets) Option { return func(c *Client) { c.budgets = b } }
 
 // WithAttempts bounds the attempts at one call.
-func WithAttempts(n int) Option { return func(c *Caller) { c.attempts = n } }
+func WithAttempts(n int) Option { return func(c *Client) { c.attempts = n } }
 
 // New returns a caller.
-func New(l *control.Loop, w *web.Client, o *Once, os ...Option) *Caller {
+func New(l *control.Loop, w *web.Client, o *Once, os ...Option) *Client {
 	const defaultPart, defaultAttempts = 0.1, 3
-	c := &Caller{loop: l, web: w, once: o, budgets: limit.NewRetryBudgets(defaultPart), attempts: defaultAttempts}
+	c := &Client{loop: l, web: w, once: o, budgets: limit.NewRetryBudgets(defaultPart), attempts: defaultAttempts}
 	for _, o := range os {
 		o(c)
 	}
@@ -79,7 +79,7 @@
 }
 
 // Run sends a call and returns the service's answer, whatever its status.
-func (c *Caller) Run(ctx context.Context, x Call) (claim.Answer, error) {
+func (c *Client) Run(ctx context.Context, x Call) (claim.Answer, error) {
 	ctx, cancel := context.WithDeadline(ctx, x.Deadline)
 	defer cancel()
 	c.budgets.Earn(x.Workspace)
@@ -92,7 +92,7 @@
 }
 
 // repeat tries hosts until one answers.
-func (c *Caller) repeat(ctx context.Context, x Call) (claim.Answer, error) {
+func (c *Client) repeat(ctx context.Context, x Call) (claim.Answer, error) {
 	hs := c.hosts(x)
 	if len(hs) == 0 {
 		return claim.Answer{}, noHost(x.Service)
@@ -114,7 +114,7 @@
 }
 
 // sendOnce sends to the first host to which a connection can be opened.
-func (c *Caller) sendOnce(ctx context.Context, x Call) (claim.Answer, error) {
+func (c *Client) sendOnce(ctx context.Context, x Call) (claim.Answer, error) {
 	hs := c.hosts(x)
 	if len(hs) == 0 {
 		return claim.Answer{}, errors.Mark(noHost(x.Service), ErrNotSent)
@@ -134,14 +134,14 @@
 }
 
 // hosts returns where a call may go.
-func (c *Caller) hosts(x Call) []hosts.Host {
+func (c *Client) hosts(x Call) []hosts.Host {
 	if x.OldSite {
 		return c.loop.View().OldSite()
 	}
 	return c.loop.View().Hosts(x.Service)
 }
 
-func (c *Caller) send(ctx context.Context, h hosts.Host, x Call) (claim.Answer, error) {
+func (c *Client) send(ctx context.Context, h hosts.Host, x Call) (claim.Answer, error) {
 	r, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(r)
 	defer fasthttp.ReleaseResponse(a)
