--- a/daemon/upstream/conn.go
+++ b/daemon/upstream/conn.go
@@ -17,23 +17,27 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	until  time.Time // after which the server may close it, once it rests
-	// waiting says that a request was written and no answer to it has begun.
-	waiting atomic.Bool
+	// idleUntil is when the idle connection expires, as the server may close it
+	// from then on.
+	idleUntil time.Time
+	// awaitingHead is set from the writing of a request until the head of its
+	// answer has arrived.
+	awaitingHead atomic.Bool
 }
 
-// end closes the connection. If it waits for an answer it is reset, so that the request
-// doesn't arrive when nobody waits for it and the server may be leaving.
-func (c *conn) end() {
-	if c.waiting.Load() {
+// abort closes the connection. If the head of an answer is outstanding, it resets
+// the connection instead, so that a delayed request doesn't reach the server after
+// it has been abandoned, when the server may be leaving.
+func (c *conn) abort() {
+	if c.awaitingHead.Load() {
 		web.Reset(c.Conn)
 	}
 	_ = c.Close()
 }
 
-// quiet reports whether the connection is open and nothing has arrived on it
-// that no request asked for. It doesn't wait.
-func (c *conn) quiet() bool {
+// reusable reports whether the idle connection is open and has received no
+// unsolicited bytes. It doesn't block.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -55,28 +59,29 @@
 	return err == nil && open
 }
 
-// staysOpen waits whether the connection is closed at once, as by a proxy before a
-// server that is down.
-func (c *conn) staysOpen() error {
-	if err := c.SetReadDeadline(time.Now().Add(dropTime)); err != nil {
-		return errors.Mark(err, errDropped)
+// checkStaysOpen waits for proxyCloseTimeout and returns an error if the peer closes
+// the connection by then, as does a proxy in front of a server that is down.
+func (c *conn) checkStaysOpen() error {
+	if err := c.SetReadDeadline(time.Now().Add(proxyCloseTimeout)); err != nil {
+		return errors.Mark(err, errClosedAtOnce)
 	}
 	if _, err := c.reader.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		return errors.Mark(err, errDropped)
+		return errors.Mark(err, errClosedAtOnce)
 	}
 	return c.SetReadDeadline(time.Time{})
 }
 
-// dropTime is within what time a proxy closes a connection that it can't pass on:
-// several ways between halls.
-const dropTime = 20 * time.Millisecond
+// proxyCloseTimeout is the time within which a proxy closes a connection if it can't
+// reach the server: several times the latency between halls.
+const proxyCloseTimeout = 20 * time.Millisecond
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged, so that
-// a connection to a host that has gone breaks instead of hanging.
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent bytes may stay
+// unacknowledged, so that a connection to an unreachable host fails instead of
+// hanging.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var set error
+	var setErr error
 	err := c.Control(func(fd uintptr) {
-		set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout/time.Millisecond))
+		setErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout/time.Millisecond))
 	})
-	return errors.CombineErrors(err, set)
+	return errors.CombineErrors(err, setErr)
 }
--- a/daemon/upstream/upstream.go
+++ b/daemon/upstream/upstream.go
@@ -1,11 +1,11 @@
-// Package upstream sends requests to backend servers over connections that it
-// keeps.
+// Package upstream is an HTTP/1.1 client for backend servers with a pool of
+// persistent connections.
 //
-// It writes HTTP/1.1 itself and reads answers with the standard library's
-// parser. A ready-made client does not fit here: each decides by itself when
-// to send a request once more, and hides when an answer's connection holds
-// bytes that belong to no request. What is sent here is sent once; the error
-// tells whether any byte can have left.
+// It writes requests itself and parses answers with net/http. Existing clients
+// don't fit: they decide by themselves when to retry a request, and they hide
+// that a connection holds bytes which belong to no request. This package sends
+// each request at most once, and its errors tell whether any byte of the request
+// can have left the host.
 //
 // # Usage
 //
@@ -32,40 +32,42 @@
 )
 
 const (
-	// dialTimeout leaves time for another server within a request for a
-	// human at a counter, and is 100 times the longest way between halls.
+	// dialTimeout is short enough that a request for which a person waits at
+	// a counter can still be sent to another server, and 100 times the highest
+	// latency between halls.
 	dialTimeout = 600 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged.
+	// userTimeout is how long sent bytes may stay unacknowledged before the
+	// kernel breaks the connection.
 	userTimeout = 1500 * time.Millisecond
-	// tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h, which package
-	// syscall lacks.
+	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of linux/tcp.h,
+	// which package syscall lacks.
 	tcpUserTimeout = 0x12
-	// maxRest is how long a kept connection may rest before it is no longer
-	// used, where the server does not tell.
-	maxRest = 8 * time.Second
-	// restMargin is kept from what the server tells, which it does in whole
-	// seconds.
-	restMargin = 500 * time.Millisecond
-	// maxIdle bounds kept connections to one server where nothing else is
-	// said.
-	maxIdle = 32
-	// maxStale is how many answers of other requests are skipped before a
-	// connection is given up.
-	maxStale = 2
-	bufSize  = 4 << 10
+	// defaultIdleTimeout is how long an idle connection may be reused if the
+	// server reports no timeout.
+	defaultIdleTimeout = 8 * time.Second
+	// idleTimeoutMargin is subtracted from the timeout that the server reports,
+	// which is in whole seconds.
+	idleTimeoutMargin = 500 * time.Millisecond
+	// defaultMaxIdle bounds the idle connections to one server unless
+	// WithMaxIdle is used.
+	defaultMaxIdle = 32
+	// maxSkippedAnswers is how many interim answers, and answers to other
+	// requests, are skipped before the connection is given up.
+	maxSkippedAnswers = 2
+	readBufferBytes   = 4 << 10
 )
 
 var (
-	// ErrNotSent marks a request of which no byte has left this host.
+	// ErrNotSent marks errors after which no byte of the request has left this host.
 	ErrNotSent = errors.New("nothing was sent to the backend server")
-	// ErrIDMismatch is an answer to another request.
+	// ErrIDMismatch reports an answer with the ID of another request.
 	ErrIDMismatch = errors.New("the answer belongs to another request")
 
-	errDropped = errors.New("it was closed at once")
+	errClosedAtOnce = errors.New("closed right after it was opened")
 )
 
 type (
-	// Request is what is sent.
+	// Request is a request to a backend server.
 	Request struct {
 		Method string
 		// Target is the path and query exactly as the caller sent them.
@@ -73,55 +75,59 @@
 		Host   string
 		Header http.Header
 		Body   []byte
-		// IDHeader and ID, if set, have to be in the answer.
+		// IDHeader names the header with the request's ID, if ID is set. Answers
+		// with another ID are skipped; answers without one are accepted.
 		IDHeader, ID string
-		// NewConnection asks for one that was not kept.
+		// NewConnection requires that a new connection is opened.
 		NewConnection bool
-		// BeforeSend is asked last before the first byte leaves; nil allows.
+		// BeforeSend is called immediately before the first byte is written. If
+		// it returns an error, nothing is sent. It may be nil.
 		BeforeSend func() error
 	}
 
-	// Answer is a backend server's. Its body is read as it comes.
+	// Answer is the answer of a backend server. Its body is streamed. It must be
+	// closed.
 	Answer struct {
 		Status int
 		Header http.Header
-		// Length is the body's, or -1 if it is not stated.
+		// Length is the length of the body in bytes, or -1 if it is unknown.
 		Length int64
 		Body   io.Reader
 
-		pool  *Pool
-		addr  string
-		conn  *conn
-		resp  *http.Response
-		stop  func() bool
-		whole bool
+		pool     *Pool
+		addr     string
+		conn     *conn
+		resp     *http.Response
+		stop     func() bool
+		complete bool // the body was read to its end
 	}
 
-	// Pool keeps connections, by address. It is safe for use by many
-	// goroutines.
+	// Pool is a pool of connections to backend servers, by address. It is safe
+	// for concurrent use.
 	Pool struct {
-		dial func(ctx context.Context, addr string) (net.Conn, error)
-		now  func() time.Time
-		most func(addr string) int // kept connections to one server
+		dial    func(ctx context.Context, addr string) (net.Conn, error)
+		now     func() time.Time
+		maxIdle func(addr string) int // per server
 
 		mu     sync.Mutex
 		idle   map[string][]*conn
 		opened int64
 	}
 
-	// Option changes a pool under construction.
+	// Option configures a Pool.
 	Option func(*Pool)
 )
 
-// WithDial sets how connections are opened.
+// WithDial sets the function that opens connections.
 func WithDial(f func(ctx context.Context, addr string) (net.Conn, error)) Option {
 	return func(p *Pool) { p.dial = f }
 }
 
-// WithMaxIdle sets what tells how many connections to one server are kept.
-func WithMaxIdle(f func(addr string) int) Option { return func(p *Pool) { p.most = f } }
+// WithMaxIdle sets the function that returns the maximum number of idle connections
+// to a server.
+func WithMaxIdle(f func(addr string) int) Option { return func(p *Pool) { p.maxIdle = f } }
 
-// New returns a pool without connections.
+// New returns an empty pool.
 func New(os ...Option) *Pool {
 	d := net.Dialer{
 		Timeout: dialTimeout,
@@ -134,10 +140,10 @@
 		},
 	}
 	p := &Pool{
-		now:  time.Now,
-		most: func(string) int { return maxIdle },
-		idle: map[string][]*conn{},
-		dial: func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
+		now:     time.Now,
+		maxIdle: func(string) int { return defaultMaxIdle },
+		idle:    map[string][]*conn{},
+		dial:    func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
 	}
 	for _, o := range os {
 		o(p)
@@ -145,33 +151,35 @@
 	return p
 }
 
-// NotSent reports whether err says that nothing of the request has left.
+// NotSent reports whether err is marked with ErrNotSent: no byte of the request has
+// left this host.
 func NotSent(err error) bool { return errors.Is(err, ErrNotSent) }
 
-// Opened returns how many connections were opened so far.
+// Opened returns the total number of connections that were opened.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Send writes a request and waits for the head of its answer. When ctx ends
-// the connection is closed, which also ends the reading of the body. Before the head
-// it is reset, so that a request which the network has held up until then never
-// reaches the server.
+// Send writes a request and waits for the head of its answer. When ctx ends, the
+// connection is closed, and reading the body fails. If the head hasn't arrived by
+// then, the connection is reset instead, so that a request that is still delayed in
+// the network never reaches the server. Send doesn't retry; the error satisfies
+// [NotSent] if nothing was sent.
 func (p *Pool) Send(ctx context.Context, addr string, r Request) (*Answer, error) {
 	c, err := p.connection(ctx, addr, r.NewConnection)
 	if err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "connect to %s", addr), ErrNotSent)
 	}
-	stop := context.AfterFunc(ctx, c.end)
+	stop := context.AfterFunc(ctx, c.abort)
 	if r.BeforeSend != nil {
 		if err := r.BeforeSend(); err != nil {
 			p.discard(c, stop)
 			return nil, errors.Mark(err, ErrNotSent)
 		}
 	}
-	c.waiting.Store(true)
+	c.awaitingHead.Store(true)
 	if n, err := c.Write(encode(r)); err != nil {
 		p.discard(c, stop)
 		err = errors.Wrap(err, "write request")
@@ -180,19 +188,20 @@
 		}
 		return nil, err
 	}
-	a, err := p.head(c, r)
+	a, err := p.readHead(c, r)
 	if err != nil {
 		p.discard(c, stop)
 		return nil, err
 	}
-	c.waiting.Store(false)
+	c.awaitingHead.Store(false)
 	a.pool, a.addr, a.conn, a.stop = p, addr, c, stop
 	return a, nil
 }
 
-// head reads the head of the answer, past those of other requests.
-func (p *Pool) head(c *conn, r Request) (*Answer, error) {
-	for range maxStale + 1 {
+// readHead reads the head of the answer, and skips interim answers and answers to
+// other requests.
+func (p *Pool) readHead(c *conn, r Request) (*Answer, error) {
+	for range maxSkippedAnswers + 1 {
 		req := &http.Request{Method: r.Method}
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
@@ -218,28 +227,29 @@
 	return nil, ErrIDMismatch
 }
 
-// Finish notes that the body was read to its end, so that the connection may
-// be kept.
-func (a *Answer) Finish() { a.whole = true }
+// Finish records that the body was read to its end, so that Close may return the
+// connection to the pool.
+func (a *Answer) Finish() { a.complete = true }
 
-// Close ends the exchange. Without [Answer.Finish] the connection is closed,
-// which tells the backend server that nobody waits any more.
+// Close ends the exchange. Without [Answer.Finish] it closes the connection, from
+// which the backend server learns that the answer is no longer wanted.
 func (a *Answer) Close() {
-	if !a.stop() || !a.whole || a.resp.Close || a.conn.reader.Buffered() > 0 {
+	if !a.stop() || !a.complete || a.resp.Close || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
-	a.pool.keep(a.addr, a.conn, rest(a.Header.Get("Keep-Alive")))
+	a.pool.putIdle(a.addr, a.conn, idleTimeout(a.Header.Get("Keep-Alive")))
 }
 
-// connection returns a kept connection that is quiet, or a new one.
-func (p *Pool) connection(ctx context.Context, addr string, fresh bool) (*conn, error) {
-	for !fresh {
-		c := p.take(addr)
+// connection returns an idle connection that is reusable, or a new one. With
+// forceNew it always opens a new one.
+func (p *Pool) connection(ctx context.Context, addr string, forceNew bool) (*conn, error) {
+	for !forceNew {
+		c := p.takeIdle(addr)
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.reusable() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -251,11 +261,13 @@
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &conn{Conn: n, reader: bufio.NewReaderSize(n, bufSize)}, nil
+	return &conn{Conn: n, reader: bufio.NewReaderSize(n, readBufferBytes)}, nil
 }
 
-// take removes the connection that rested least.
-func (p *Pool) take(addr string) *conn {
+// takeIdle removes and returns the most recently used idle connection, or nil if
+// there is none. If that connection has expired, so have the others, and all are
+// closed.
+func (p *Pool) takeIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cs := p.idle[addr]
@@ -265,80 +277,83 @@
 	c := cs[len(cs)-1]
 	p.idle[addr] = cs[:len(cs)-1]
 	now := p.now()
-	if now.After(c.until) {
-		p.drop(addr)
+	if now.After(c.idleUntil) {
+		p.closeIdleLocked(addr)
 		_ = c.Close()
 		return nil
 	}
 	return c
 }
 
-// keep puts a connection back for the next request.
-func (p *Pool) keep(addr string, c *conn, rest time.Duration) {
+// putIdle adds an idle connection, and closes the oldest ones above the limit.
+func (p *Pool) putIdle(addr string, c *conn, timeout time.Duration) {
 	now := p.now()
-	c.until = now.Add(rest)
+	c.idleUntil = now.Add(timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cs := p.idle[addr]
-	for len(cs) > 0 && len(cs) >= p.most(addr) {
+	for len(cs) > 0 && len(cs) >= p.maxIdle(addr) {
 		_ = cs[0].Close()
 		cs = cs[1:]
 	}
 	p.idle[addr] = append(cs, c)
 }
 
+// discard closes a connection on which a request failed.
 func (p *Pool) discard(c *conn, stop func() bool) {
 	stop()
-	c.end()
+	c.abort()
 }
 
-// Probe reports whether a server takes connections and leaves them open. The one
-// that it opens is kept for requests. An error that [PortClosed] reports says that the
-// server isn't there; others say nothing of it.
+// Probe opens a connection to a server, and returns an error if that fails or if the
+// connection is closed again at once. The connection is added to the pool. If
+// [PortClosed] is true of the error, the server isn't running; other errors are
+// inconclusive.
 func (p *Pool) Probe(ctx context.Context, addr string) error {
 	c, err := p.connection(ctx, addr, true)
 	if err != nil {
 		return errors.Wrapf(err, "connect to %s", addr)
 	}
-	if err := c.staysOpen(); err != nil {
+	if err := c.checkStaysOpen(); err != nil {
 		_ = c.Close()
 		return errors.Wrapf(err, "connection to %s", addr)
 	}
-	p.keep(addr, c, maxRest)
+	p.putIdle(addr, c, defaultIdleTimeout)
 	return nil
 }
 
-// PortClosed reports whether err says that a host is there and no server: its port is
-// closed, or a proxy before the server took the connection and closed it.
-func PortClosed(err error) bool { return errors.IsAny(err, syscall.ECONNREFUSED, errDropped) }
+// PortClosed reports whether err shows that the host is reachable but the server isn't
+// running: the host refused the connection, or a proxy in front of the server accepted
+// and closed it.
+func PortClosed(err error) bool { return errors.IsAny(err, syscall.ECONNREFUSED, errClosedAtOnce) }
 
-// CloseIdle closes the kept connections to a server. Connections may fall silent all
-// at once and without a reset, while new ones work; each that is tried costs a
-// request its time.
+// CloseIdle closes the idle connections to a server. It is used after one of them has
+// failed: connections may stop working all at once and without a reset while new ones
+// work, and each one that is tried delays a request.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(addr)
+	p.closeIdleLocked(addr)
 }
 
-// drop closes the kept connections to a server. The pool is locked.
-func (p *Pool) drop(addr string) {
+// closeIdleLocked closes the idle connections to a server. The pool must be locked.
+func (p *Pool) closeIdleLocked(addr string) {
 	for _, c := range p.idle[addr] {
 		_ = c.Close()
 	}
 	delete(p.idle, addr)
 }
 
-// Sweep closes connections that have rested too long, and all of addresses
-// that serve nothing any more.
-func (p *Pool) Sweep(serves func(addr string) bool) {
+// Sweep closes idle connections that have expired, and all idle connections to
+// addresses for which listed is false.
+func (p *Pool) Sweep(listed func(addr string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	for addr, cs := range p.idle {
 		kept := cs[:0]
 		for _, c := range cs {
-			if now.After(c.until) || !serves(addr) {
+			if now.After(c.idleUntil) || !listed(addr) {
 				_ = c.Close()
 				continue
 			}
@@ -350,22 +365,23 @@
 	}
 }
 
-// rest is how long a connection may be kept, by the server's Keep-Alive.
-func rest(h string) time.Duration {
-	for part := range strings.SplitSeq(h, ",") {
-		k, v, _ := strings.Cut(strings.TrimSpace(part), "=")
+// idleTimeout returns how long a connection may be idle, from the value of the
+// server's Keep-Alive header.
+func idleTimeout(keepAlive string) time.Duration {
+	for param := range strings.SplitSeq(keepAlive, ",") {
+		k, v, _ := strings.Cut(strings.TrimSpace(param), "=")
 		if !strings.EqualFold(k, "timeout") {
 			continue
 		}
 		if n, err := strconv.Atoi(v); err == nil {
-			return max(time.Duration(n)*time.Second-restMargin, 0)
+			return max(time.Duration(n)*time.Second-idleTimeoutMargin, 0)
 		}
 	}
-	return maxRest
+	return defaultIdleTimeout
 }
 
-// encode writes a request's head and body into one buffer, so that they leave
-// together.
+// encode returns a request's head and body in one buffer, so that a single write
+// sends both.
 func encode(r Request) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
--- a/daemon/upstream/upstream_test.go
+++ b/daemon/upstream/upstream_test.go
@@ -15,10 +15,10 @@
 	"slipcrank.example/daemon/upstream"
 )
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// serve answers the n-th request on each connection with what answer returns;
-// an empty text closes the connection.
+// serve starts a server that answers the n-th request on each connection with
+// answer(n), and returns its address. If that is empty, it closes the connection.
 func serve(t *testing.T, answer func(n int) string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,8 +56,9 @@
 	return upstream.Request{Method: "POST", Target: "/x", Host: "h", Header: http.Header{}, Body: []byte("b"), IDHeader: "Id", ID: "1"}
 }
 
-// ask sends a request, reads the answer whole and gives the connection back.
-func ask(t *testing.T, p *upstream.Pool, addr string, r upstream.Request) (string, error) {
+// roundTrip sends a request, reads the whole answer and returns the connection to
+// the pool.
+func roundTrip(t *testing.T, p *upstream.Pool, addr string, r upstream.Request) (string, error) {
 	t.Helper()
 	a, err := p.Send(context.Background(), addr, r)
 	if err != nil {
@@ -71,24 +72,24 @@
 	return string(b), err
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	for name, tc := range map[string]struct {
 		answer string
 		opened int64 // for three requests
 	}{
-		"kept":                {fine, 1},
-		"closed by word":      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 3},
-		"surplus bytes":       {fine + "HTTP/1.1 200 OK\r\n", 3},
-		"kept for no time":    {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", 3},
-		"kept for some time":  {"HTTP/1.1 200 OK\r\nKeep-Alive: max=5, timeout=60\r\nContent-Length: 2\r\n\r\nok", 1},
-		"interim answer":      {"HTTP/1.1 100 Continue\r\n\r\n" + fine, 1},
-		"another's, then own": {"HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 3\r\n\r\nbad" + fine, 1},
+		"reused":                          {okAnswer, 1},
+		"Connection: close":               {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 3},
+		"surplus bytes after the body":    {okAnswer + "HTTP/1.1 200 OK\r\n", 3},
+		"Keep-Alive timeout of 0":         {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", 3},
+		"Keep-Alive timeout of 60 s":      {"HTTP/1.1 200 OK\r\nKeep-Alive: max=5, timeout=60\r\nContent-Length: 2\r\n\r\nok", 1},
+		"interim answer":                  {"HTTP/1.1 100 Continue\r\n\r\n" + okAnswer, 1},
+		"answer to another request first": {"HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 3\r\n\r\nbad" + okAnswer, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := serve(t, func(int) string { return tc.answer })
 			p := upstream.New()
 			for range 3 {
-				if b, err := ask(t, p, addr, request()); err != nil || b != "ok" {
+				if b, err := roundTrip(t, p, addr, request()); err != nil || b != "ok" {
 					t.Fatalf("got %q, %v", b, err)
 				}
 			}
@@ -99,25 +100,25 @@
 	}
 }
 
-func TestServerThatClosedItsConnectionIsDialledAnew(t *testing.T) {
+func TestConnectionClosedByTheServerIsReplaced(t *testing.T) {
 	addr := serve(t, func(n int) string {
 		if n > 0 {
 			return ""
 		}
-		return fine
+		return okAnswer
 	})
 	p := upstream.New()
-	if _, err := ask(t, p, addr, request()); err != nil {
+	if _, err := roundTrip(t, p, addr, request()); err != nil {
 		t.Fatal(err)
 	}
-	// The second request on the connection is read and closed: it may have
-	// run, so the error must not say that it was not sent.
-	_, err := ask(t, p, addr, request())
+	// The server reads the second request and closes the connection. The request
+	// may have run, so the error must not satisfy NotSent.
+	_, err := roundTrip(t, p, addr, request())
 	if err == nil || upstream.NotSent(err) {
 		t.Errorf("got %v, want an error of a request that may have run", err)
 	}
-	if _, err := ask(t, p, addr, request()); err != nil {
-		t.Errorf("after it: %v", err)
+	if _, err := roundTrip(t, p, addr, request()); err != nil {
+		t.Errorf("request on a new connection: %v", err)
 	}
 }
 
@@ -128,19 +129,19 @@
 	}
 	closed := l.Addr().String()
 	_ = l.Close()
-	if _, err := ask(t, upstream.New(), closed, request()); !upstream.NotSent(err) {
-		t.Errorf("nobody listens: %v", err)
+	if _, err := roundTrip(t, upstream.New(), closed, request()); !upstream.NotSent(err) {
+		t.Errorf("closed port: %v", err)
 	}
 	r := request()
-	no := errors.New("no longer allowed")
-	r.BeforeSend = func() error { return no }
-	addr := serve(t, func(int) string { return fine })
-	if _, err := ask(t, upstream.New(), addr, r); !upstream.NotSent(err) || !errors.Is(err, no) {
-		t.Errorf("not allowed: %v", err)
+	denied := errors.New("no longer allowed")
+	r.BeforeSend = func() error { return denied }
+	addr := serve(t, func(int) string { return okAnswer })
+	if _, err := roundTrip(t, upstream.New(), addr, r); !upstream.NotSent(err) || !errors.Is(err, denied) {
+		t.Errorf("BeforeSend failed: %v", err)
 	}
 }
 
-func TestEndOfContextEndsTheWait(t *testing.T) {
+func TestSendReturnsWhenTheContextEnds(t *testing.T) {
 	addr := serve(t, func(int) string {
 		_ = pause.For(context.Background(), time.Hour) // the server never answers
 		return ""
@@ -152,11 +153,11 @@
 	}
 }
 
-func TestSweepClosesWhatServesNothing(t *testing.T) {
-	addr := serve(t, func(int) string { return fine })
+func TestSweepClosesConnectionsToUnlistedServers(t *testing.T) {
+	addr := serve(t, func(int) string { return okAnswer })
 	p := upstream.New()
 	for range 2 {
-		if _, err := ask(t, p, addr, request()); err != nil {
+		if _, err := roundTrip(t, p, addr, request()); err != nil {
 			t.Fatal(err)
 		}
 		p.Sweep(func(string) bool { return false })
@@ -166,9 +167,9 @@
 	}
 }
 
-// TestProbeTellsWhoIsThere looks at a server, at a port that nobody listens on, and at
-// a proxy that takes connections and closes them.
-func TestProbeTellsWhoIsThere(t *testing.T) {
+// TestProbeDetectsServersThatAreNotRunning probes a server, a port without a
+// listener, and a proxy that accepts connections and closes them.
+func TestProbeDetectsServersThatAreNotRunning(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -192,15 +193,15 @@
 		addr   string
 		closed bool
 	}{
-		"a server":               {serve(t, func(int) string { return fine }), false},
-		"a closed port":          {closed.Addr().String(), true},
-		"a proxy without server": {proxy.Addr().String(), true},
+		"a server":                 {serve(t, func(int) string { return okAnswer }), false},
+		"a closed port":            {closed.Addr().String(), true},
+		"a proxy without a server": {proxy.Addr().String(), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := upstream.New()
 			err := p.Probe(t.Context(), tc.addr)
 			if upstream.PortClosed(err) != tc.closed || (err == nil) == tc.closed {
-				t.Errorf("found %v, want closed %v", err, tc.closed)
+				t.Errorf("got %v, want closed port: %v", err, tc.closed)
 			}
 		})
 	}
