--- a/daemon/relay/opening_test.go
+++ b/daemon/relay/opening_test.go
@@ -11,12 +11,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// openingTime is how long it takes until a connection through slowly passes
-// anything on.
-const openingTime = 1500 * time.Millisecond
+// openingDelay is how long a slow proxy waits until it forwards anything on a new
+// connection.
+const openingDelay = 1500 * time.Millisecond
 
-// slowly passes connections on to an address after openingTime.
-func slowly(t *testing.T, to string) string {
+// startSlowProxy starts a proxy that forwards connections to an address after
+// openingDelay, and returns its own address.
+func startSlowProxy(t *testing.T, to string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,43 +30,43 @@
 			if err != nil {
 				return
 			}
-			time.AfterFunc(openingTime, func() { pass(c, to) })
+			time.AfterFunc(openingDelay, func() { forward(c, to) })
 		}
 	}()
 	return l.Addr().String()
 }
 
-// pass passes a connection on to an address until either side ends it.
-func pass(c net.Conn, to string) {
+// forward forwards a connection to an address until either side closes it.
+func forward(c net.Conn, to string) {
 	d, err := net.Dial("tcp", to)
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	go func() { _, _ = io.Copy(d, c) }() // ends with its connection
+	go func() { _, _ = io.Copy(d, c) }() // ends when the connection is closed
 	_, _ = io.Copy(c, d)
 	_ = c.Close()
 }
 
-// TestSlowOpeningDoesNotAgeProofs has a host hear another over a connection
-// that takes long to open. What it hears then is as fresh as ever.
-func TestSlowOpeningDoesNotAgeProofs(t *testing.T) {
-	reader, last := watcher(t, func() int { return 3 }), watcher(t, nil)
-	hear(t, last, slowly(t, serve(t, reader)))
-	eventually(t, "the last host has the configuration", inForce(last, 3))
+// TestSlowConnectionSetupDoesNotAgeProofs has a host receive updates over a connection
+// that takes long to open, which must not add to the age of the proofs.
+func TestSlowConnectionSetupDoesNotAgeProofs(t *testing.T) {
+	reader, last := newWatcher(t, func() int { return 3 }), newWatcher(t, nil)
+	receive(t, last, startSlowProxy(t, serve(t, reader)))
+	eventually(t, "the last host has the configuration", hasConfig(last, 3))
 	eventually(t, "the last host has a proof that is fresh", func() bool {
 		age, ok := last.ConfigAge()
 		return ok && age < time.Second
 	})
 }
 
-// cutTime is for how long the way to a host drops what opens connections: the kernel
-// sends it each second at first, then after pauses that double.
-const cutTime = 7600 * time.Millisecond
+// partitionTime is how long the SYN packets to a host are dropped. The kernel
+// retransmits them each second at first, then at doubling intervals.
+const partitionTime = 7600 * time.Millisecond
 
-// dropping returns an address that drops the packets which open connections for
-// cutTime, and passes connections on after that.
-func dropping(t *testing.T, to string) string {
+// startPartitionedProxy starts a proxy that drops SYN packets for partitionTime and
+// forwards connections to an address after that. It returns the proxy's address.
+func startPartitionedProxy(t *testing.T, to string) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -84,40 +85,41 @@
 	}
 	_ = f.Close() // the listener has a copy
 	t.Cleanup(func() { _ = l.Close() })
-	for { // a full queue of new connections drops packets
+	for { // fill the accept queue, so that further SYN packets are dropped
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond)
 		if err != nil {
 			break
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	time.AfterFunc(cutTime, func() {
+	time.AfterFunc(partitionTime, func() {
 		for n := 0; ; n++ {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if n > 0 { // the first one filled the queue
-				go pass(c, to)
+			if n > 0 { // the first one was opened to fill the queue
+				go forward(c, to)
 			}
 		}
 	})
 	return l.Addr().String()
 }
 
-// TestHostIsHeardSoonAfterACut: requests reached servers seconds after these had
-// said that they leave. The way to another host is cut with dropped packets; a try to
-// reach it that began within the cut waits for the kernel's next packet, for
-// seconds after its end, and the host is told nothing meanwhile. The evidence: with a
-// try that is given up after a second the same cut ends for the host within 2 s.
-func TestHostIsHeardSoonAfterACut(t *testing.T) {
+// TestStreamOpensSoonAfterAPartition guards against requests that reach servers seconds
+// after these have reported that they are leaving. While the SYN packets to another
+// host are dropped, the kernel retransmits them at growing intervals. An attempt to
+// connect that began in the partition succeeds only seconds after its end, and no
+// updates arrive until then. With attempts that end after a second, updates arrive
+// within 2 s of the end.
+func TestStreamOpensSoonAfterAPartition(t *testing.T) {
 	t.Parallel()
-	reader, last := watcher(t, func() int { return 3 }), watcher(t, nil)
-	addr := dropping(t, serve(t, reader))
+	reader, last := newWatcher(t, func() int { return 3 }), newWatcher(t, nil)
+	addr := startPartitionedProxy(t, serve(t, reader))
 	begun := time.Now()
-	hear(t, last, addr)
-	eventually(t, "the last host has the configuration", inForce(last, 3))
-	if d := time.Since(begun) - cutTime; d > 2*time.Second {
-		t.Errorf("heard %v after the end of the cut", d)
+	receive(t, last, addr)
+	eventually(t, "the last host has the configuration", hasConfig(last, 3))
+	if d := time.Since(begun) - partitionTime; d > 2*time.Second {
+		t.Errorf("received the configuration %v after the end of the partition", d)
 	}
 }
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -1,21 +1,21 @@
-// Package relay passes what some hosts read of the platform's tables on to the
-// others of their data hall, so that the platform isn't asked by each, and a
-// host that the platform turns away still hears what is in force.
+// Package relay streams the platform's tables from the hosts that read them to the
+// other hosts of their data hall, so that not every host has to poll the platform,
+// and a host that the platform refuses still receives the current state.
 //
-// A stream begins with all rows of the tables that its listener doesn't know as
-// its server does, and goes on with each change and each proof that nothing has
-// changed. Both carry the platform's steady clock at which they were true, so
-// whoever hears them knows their age as if it had asked itself, however many
-// hosts they came through.
+// A stream starts with all rows of the tables whose digests differ between server
+// and client, and continues with each change and each proof that nothing has
+// changed. Each update carries the reading of the platform's monotonic clock at
+// which it was true. The client can therefore determine its age as if it had asked
+// the platform itself, however many hosts have forwarded it.
 //
-// It runs over gRPC with messages in CBOR, which needs no generated code.
+// The transport is gRPC with messages in CBOR, which needs no generated code.
 //
 // # Usage
 //
 //	s := relay.NewServer(watcher)
 //	go s.Serve(listener)
 //	c := relay.NewClient(watcher, log)
-//	c.Hear([]string{"10.0.0.2:7340"})   // from now on, these and no others
+//	c.SetServers([]string{"10.0.0.2:7340"})   // replaces the previous servers
 package relay
 
 import (
@@ -43,89 +43,92 @@
 const (
 	serviceName = "slipcrank.Relay"
 	methodName  = "Hear"
-	// silence is how long a server may say nothing before its stream is given
-	// up, and aliveEvery how often it sends an update of no table if it has no
-	// news, as while the platform is away.
-	silence    = 2500 * time.Millisecond
-	aliveEvery = time.Second
-	// firstTime is for the first message, which may hold 3,000 servers in
-	// half a megabyte and come with those of 30 other listeners over a link of
-	// 20 Mbit/s.
-	firstTime = 10 * time.Second
-	// connectTime is for the kernel to open a connection. A try that begins within a cut waits
-	// for the kernel's next packet, which comes up to as long after the end of the
-	// cut as that has lasted; a new try is answered at once.
-	connectTime = time.Second
-	// retryPause lies between tries to reach a server.
+	// silenceTimeout is how long a server may send nothing before the client
+	// gives up the stream. A server without updates, as during an outage of the
+	// platform, sends one without a table each keepaliveInterval.
+	silenceTimeout    = 2500 * time.Millisecond
+	keepaliveInterval = time.Second
+	// firstMessageTimeout bounds the time until the first message, which may
+	// hold 3,000 servers in half a megabyte and share a link of 20 Mbit/s with
+	// those of 30 other clients.
+	firstMessageTimeout = 10 * time.Second
+	// connectTimeout bounds an attempt to open a connection. During a network
+	// partition the kernel retransmits the SYN at growing intervals, so an
+	// attempt that began in the partition may last up to as long after its end
+	// as it has lasted, while a new attempt succeeds at once.
+	connectTimeout = time.Second
+	// retryPause is the pause between two attempts to reach a server.
 	retryPause = 500 * time.Millisecond
-	// lostTime is for how long a server that could not be heard counts as lost
-	// once it is no longer tried.
-	lostTime = 10 * time.Second
-	// maxMessage bounds a message: a table's rows in one answer of the
-	// platform.
-	maxMessage = 8 << 20
+	// unreachableTTL is how long a server counts as unreachable after the last
+	// failed attempt.
+	unreachableTTL = 10 * time.Second
+	// maxMessageBytes bounds a message. The largest one holds all rows of a
+	// table, as does one answer of the platform.
+	maxMessageBytes = 8 << 20
 )
 
 type (
-	// Server sends what a watcher learns.
+	// Server streams the updates of a watcher to clients.
 	Server struct {
 		grpc    *grpc.Server
 		watcher *watch.Watcher
 	}
 
-	// Client hears servers and hands what they say to a watcher.
+	// Client receives updates from servers and passes them to a watcher. It is
+	// safe for concurrent use.
 	Client struct {
 		watcher *watch.Watcher
 		log     *decision.Log
 
-		mu      sync.Mutex
-		streams map[string]context.CancelFunc
-		lost    map[string]time.Time // when a server could not be heard last
+		mu          sync.Mutex
+		streams     map[string]context.CancelFunc // by address
+		unreachable map[string]time.Time          // time of the last failure, by address
 	}
 
-	// hearRequest asks for updates.
-	hearRequest struct {
-		// Knows are digests of the rows that the listener knows, by table.
-		Knows map[string]uint64 `cbor:"1,keyasint,omitempty"`
+	// streamRequest starts a stream of updates.
+	streamRequest struct {
+		// Digests are the digests of the rows that the client has, by table.
+		Digests map[string]uint64 `cbor:"1,keyasint,omitempty"`
 	}
 )
 
-var description = grpc.ServiceDesc{
+var serviceDesc = grpc.ServiceDesc{
 	ServiceName: serviceName,
 	HandlerType: (*any)(nil),
 	Streams: []grpc.StreamDesc{{
 		StreamName:    methodName,
 		ServerStreams: true,
-		Handler:       func(s any, stream grpc.ServerStream) error { return s.(*Server).hear(stream) },
+		Handler:       func(s any, stream grpc.ServerStream) error { return s.(*Server).streamUpdates(stream) },
 	}},
 }
 
-// errTurnedAway is a server that lives and asks to come again: it has just
-// started and knows nothing yet, or its listener was too slow.
-var errTurnedAway = errors.New("the server asks to come again")
+// errRetryLater marks the error of a server that is alive but has ended the stream:
+// it has just started and has no state yet, or the client was too slow.
+var errRetryLater = errors.New("the server has ended the stream; retry later")
 
-// NewServer returns a server of what w learns.
+// NewServer returns a server that streams the updates of w.
 func NewServer(w *watch.Watcher) *Server {
-	s := &Server{grpc: grpc.NewServer(grpc.MaxSendMsgSize(maxMessage)), watcher: w}
-	s.grpc.RegisterService(&description, s)
+	s := &Server{grpc: grpc.NewServer(grpc.MaxSendMsgSize(maxMessageBytes)), watcher: w}
+	s.grpc.RegisterService(&serviceDesc, s)
 	return s
 }
 
-// Serve answers on l until Stop.
+// Serve accepts connections on l until Stop is called.
 func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(l) }
 
 // Stop ends all streams.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-func (s *Server) hear(stream grpc.ServerStream) error {
-	var r hearRequest
+// streamUpdates handles one stream until either side ends it.
+func (s *Server) streamUpdates(stream grpc.ServerStream) error {
+	var r streamRequest
 	if err := stream.RecvMsg(&r); err != nil {
 		return err
 	}
-	updates, cancel := s.watcher.Subscribe(r.Knows)
+	updates, cancel := s.watcher.Subscribe(r.Digests)
 	defer cancel()
-	quiet := time.NewTicker(aliveEvery)
-	defer quiet.Stop()
+	keepalive := time.NewTicker(keepaliveInterval)
+	defer keepalive.Stop()
 	for {
 		var u watch.Update
 		ok := true
@@ -133,29 +136,29 @@
 		case <-stream.Context().Done():
 			return stream.Context().Err()
 		case u, ok = <-updates:
-		case <-quiet.C:
+		case <-keepalive.C:
 		}
 		if !ok {
 			return errors.New("nothing is known yet, or the stream was too slow; ask anew")
 		}
-		for _, v := range waiting(u, updates) {
+		for _, v := range coalesce(u, updates) {
 			if err := stream.SendMsg(&v); err != nil {
 				return err
 			}
 		}
-		quiet.Reset(aliveEvery)
+		keepalive.Reset(keepaliveInterval)
 	}
 }
 
-// waiting returns an update and all that wait behind it, one for each table: a
-// listener behind a slow link needs the newest configuration only.
-func waiting(first watch.Update, updates <-chan watch.Update) []watch.Update {
+// coalesce joins an update and those that are queued behind it into one update per
+// table, since a client behind a slow link needs only the latest state.
+func coalesce(first watch.Update, updates <-chan watch.Update) []watch.Update {
 	joined := []watch.Update{first}
 	for {
 		select {
 		case u, ok := <-updates:
 			if !ok {
-				return joined // the next receive tells that the stream has ended
+				return joined // the next receive finds the channel closed
 			}
 			i := slices.IndexFunc(joined, func(j watch.Update) bool { return j.Table == u.Table })
 			if i < 0 {
@@ -169,12 +172,13 @@
 	}
 }
 
-// NewClient returns a client that hears nobody yet.
+// NewClient returns a client without servers.
 func NewClient(w *watch.Watcher, l *decision.Log) *Client {
-	return &Client{watcher: w, log: l, streams: map[string]context.CancelFunc{}, lost: map[string]time.Time{}}
+	return &Client{watcher: w, log: l, streams: map[string]context.CancelFunc{}, unreachable: map[string]time.Time{}}
 }
 
-// SetServers hears the servers at these addresses from now on, and no others.
+// SetServers sets the addresses of the servers from which updates are received. It
+// ends the streams from all others.
 func (c *Client) SetServers(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +188,7 @@
 		if c.streams[a] == nil {
 			ctx, cancel := context.WithCancel(context.Background())
 			c.streams[a] = cancel
-			go c.keep(ctx, a)
+			go c.follow(ctx, a)
 		}
 	}
 	for a, cancel := range c.streams {
@@ -195,86 +199,90 @@
 	}
 }
 
-// Unreachable reports whether a server was tried lately and could not be heard.
+// Unreachable reports whether the last stream from a server could not be opened or
+// broke, no longer than unreachableTTL ago. A stream that a live server has ended
+// itself doesn't count.
 func (c *Client) Unreachable(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, ok := c.lost[addr]
-	return ok && time.Since(at) < lostTime
+	at, ok := c.unreachable[addr]
+	return ok && time.Since(at) < unreachableTTL
 }
 
-func (c *Client) setLost(addr string, lost bool) {
+func (c *Client) setUnreachable(addr string, unreachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if lost {
-		c.lost[addr] = time.Now()
+	if unreachable {
+		c.unreachable[addr] = time.Now()
 		return
 	}
-	delete(c.lost, addr)
+	delete(c.unreachable, addr)
 }
 
-// keep hears a server until ctx ends, over as many streams as it takes.
-func (c *Client) keep(ctx context.Context, addr string) {
-	lost := false
+// follow receives updates from a server until ctx ends, and opens a new stream when
+// one fails. It logs the first of successive failures.
+func (c *Client) follow(ctx context.Context, addr string) {
+	failed := false
 	for ctx.Err() == nil {
-		heard, err := c.hear(ctx, addr)
+		received, err := c.receive(ctx, addr)
 		if ctx.Err() != nil {
 			return
 		}
-		if heard || !lost {
+		if received || !failed {
 			c.log.Write(event.RelayLost, slog.String("from", addr), slog.String("error", err.Error()))
 		}
-		lost = true
-		if !errors.Is(err, errTurnedAway) {
-			c.setLost(addr, true)
+		failed = true
+		if !errors.Is(err, errRetryLater) {
+			c.setUnreachable(addr, true)
 		}
-		_ = pause.For(ctx, retryPause) // ctx is looked at above
+		_ = pause.For(ctx, retryPause) // the loop checks ctx
 	}
 }
 
-// ready waits until a connection is open. The server's clock is compared with
-// the time at which it was asked, so what the opening takes would count as age
-// of every proof that is heard on the connection: 1 s and more for a full queue
-// of new connections or a process that is short of processor time, of the 0.8
-// to 4 s within which a change has to be in force.
-func ready(ctx context.Context, conn *grpc.ClientConn) error {
+// waitReady waits until a connection is open. The age of proofs is computed from the
+// time at which the stream was requested, so the time to open the connection would be
+// added to the age of every proof received on it. A full accept queue or a process
+// that is short of CPU time takes 1 s and more, of the 0.8 to 4 s within which a
+// change has to take effect.
+func waitReady(ctx context.Context, conn *grpc.ClientConn) error {
 	conn.Connect()
 	for {
 		switch s := conn.GetState(); {
 		case s == connectivity.Ready:
 			return nil
 		case s == connectivity.TransientFailure:
-			return errors.New("no connection")
+			return errors.New("connection attempt failed")
 		case !conn.WaitForStateChange(ctx, s):
 			return context.Cause(ctx)
 		}
 	}
 }
 
-// hear follows one stream to its end, and reports whether anything came.
-func (c *Client) hear(ctx context.Context, addr string) (bool, error) {
-	d := net.Dialer{Timeout: connectTime}
+// receive handles one stream until it fails, and reports whether it has received a
+// message.
+func (c *Client) receive(ctx context.Context, addr string) (bool, error) {
+	d := net.Dialer{Timeout: connectTimeout}
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithContextDialer(func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) }),
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codec.Name), grpc.MaxCallRecvMsgSize(maxMessage)))
+		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codec.Name), grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 	if err != nil {
 		return false, errors.Wrap(err, "connect")
 	}
 	defer conn.Close()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	alarm := time.AfterFunc(firstTime, func() { cancel(errors.New("the host has fallen silent")) })
-	defer alarm.Stop()
-	if err := ready(ctx, conn); err != nil {
+	timer := time.AfterFunc(firstMessageTimeout, func() { cancel(errors.New("no message from the host in time")) })
+	defer timer.Stop()
+	if err := waitReady(ctx, conn); err != nil {
 		return false, errors.Wrap(err, "connect")
 	}
-	asked := c.watcher.Now()
-	stream, err := conn.NewStream(ctx, &description.Streams[0], "/"+serviceName+"/"+methodName)
+	requested := c.watcher.Now()
+	stream, err := conn.NewStream(ctx, &serviceDesc.Streams[0], "/"+serviceName+"/"+methodName)
 	if err != nil {
 		return false, errors.Wrap(err, "open stream")
 	}
-	if err := stream.SendMsg(&hearRequest{Knows: c.watcher.Digests()}); err != nil {
+	if err := stream.SendMsg(&streamRequest{Digests: c.watcher.Digests()}); err != nil {
 		return false, errors.Wrap(err, "ask")
 	}
 	if err := stream.CloseSend(); err != nil {
@@ -286,17 +294,17 @@
 			if cause := context.Cause(ctx); cause != nil {
 				return n > 0, errors.Wrap(cause, "hear")
 			}
-			if status.Code(err) == codes.Unknown { // the server's own words
-				err = errors.Mark(err, errTurnedAway)
+			if status.Code(err) == codes.Unknown { // an error returned by the server's handler
+				err = errors.Mark(err, errRetryLater)
 			}
 			return n > 0, errors.Wrap(err, "hear")
 		}
-		alarm.Reset(silence)
+		timer.Reset(silenceTimeout)
 		if n == 0 {
-			c.setLost(addr, false)
+			c.setUnreachable(addr, false)
 		}
 		if u.Table != "" {
-			c.watcher.Hear(ctx, u, asked)
+			c.watcher.Hear(ctx, u, requested)
 		}
 	}
 }
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -20,13 +20,14 @@
 )
 
 const (
-	patience = 20 * time.Second
-	poll     = 5 * time.Millisecond
+	waitTimeout  = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// watcher runs one whose platform answers with version, or not at all if that
-// is nil.
-func watcher(t *testing.T, version func() int) *watch.Watcher {
+// newWatcher runs a watcher. Its platform serves a configuration with the version that
+// the given function returns. If the function is nil or the version negative, the
+// platform doesn't answer.
+func newWatcher(t *testing.T, version func() int) *watch.Watcher {
 	t.Helper()
 	start := time.Now()
 	answer := func(table string) (feed.Batch, error) {
@@ -48,7 +49,7 @@
 		feed.Source{
 			List: func(_ context.Context, table string) (feed.Batch, error) { return answer(table) },
 			Follow: func(ctx context.Context, table string, _ int64, _ time.Duration) (feed.Batch, error) {
-				if err := pause.For(ctx, poll); err != nil {
+				if err := pause.For(ctx, pollInterval); err != nil {
 					return feed.Batch{}, err
 				}
 				return answer(table)
@@ -69,7 +70,7 @@
 	return w
 }
 
-// serve relays what w learns and returns the address.
+// serve starts a relay server for w and returns its address.
 func serve(t *testing.T, w *watch.Watcher) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,52 +83,57 @@
 	return l.Addr().String()
 }
 
-func hear(t *testing.T, w *watch.Watcher, addrs ...string) {
+// receive starts a relay client for w that receives from the given addresses.
+func receive(t *testing.T, w *watch.Watcher, addrs ...string) {
 	t.Helper()
 	c := relay.NewClient(w, decision.New(io.Discard))
 	c.SetServers(addrs)
 	t.Cleanup(func() { c.SetServers(nil) })
 }
 
-func eventually(t *testing.T, what string, f func() bool) {
+// eventually fails the test if f doesn't return true within waitTimeout.
+func eventually(t *testing.T, condition string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		if f() {
 			return
 		}
-		_ = pause.For(context.Background(), poll) // never ends early
+		_ = pause.For(context.Background(), pollInterval) // never ends early
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("not within %v: %s", waitTimeout, condition)
 }
 
-func inForce(w *watch.Watcher, version int64) func() bool {
+// hasConfig returns a function that reports whether w has a version of the
+// configuration in effect.
+func hasConfig(w *watch.Watcher, version int64) func() bool {
 	return func() bool { c := w.State().Config; return c != nil && c.Version() == version }
 }
 
-// TestHostWithoutThePlatformHearsOthers has a chain of three, of which only
-// the first reaches the platform.
-func TestHostWithoutThePlatformHearsOthers(t *testing.T) {
+// TestUpdatesReachHostsWithoutThePlatform has a chain of three hosts, of which only the
+// first reaches the platform.
+func TestUpdatesReachHostsWithoutThePlatform(t *testing.T) {
 	var current atomic.Int64
 	current.Store(3)
-	reader := watcher(t, func() int { return int(current.Load()) })
-	middle, last := watcher(t, nil), watcher(t, nil)
-	hear(t, middle, serve(t, reader))
-	hear(t, last, serve(t, middle))
-	eventually(t, "the last host has the configuration", inForce(last, 3))
+	reader := newWatcher(t, func() int { return int(current.Load()) })
+	middle, last := newWatcher(t, nil), newWatcher(t, nil)
+	receive(t, middle, serve(t, reader))
+	receive(t, last, serve(t, middle))
+	eventually(t, "the last host has the configuration", hasConfig(last, 3))
 	current.Store(7)
-	eventually(t, "the last host has the change", inForce(last, 7))
+	eventually(t, "the last host has the change", hasConfig(last, 7))
 	eventually(t, "the last host has a proof that is fresh", func() bool {
 		age, ok := last.ConfigAge()
 		return ok && age < time.Second
 	})
 }
 
-// TestEchoIsNoProofOfOthers tells a host that reaches the platform what another
-// has from it alone: that tells it nothing.
-func TestEchoIsNoProofOfOthers(t *testing.T) {
-	reader, other := watcher(t, func() int { return 3 }), watcher(t, nil)
-	hear(t, other, serve(t, reader))
-	eventually(t, "the other host is told", func() bool { _, ok := other.ToldAge(); return ok })
+// TestEchoedProofDoesNotCountAsAnotherHosts sends a host that reaches the platform the
+// updates of another host that has them from the first host alone. They prove nothing
+// new.
+func TestEchoedProofDoesNotCountAsAnotherHosts(t *testing.T) {
+	reader, other := newWatcher(t, func() int { return 3 }), newWatcher(t, nil)
+	receive(t, other, serve(t, reader))
+	eventually(t, "the other host has a proof", func() bool { _, ok := other.ToldAge(); return ok })
 	updates, cancel := other.Subscribe(nil)
 	defer cancel()
 	for range 20 {
@@ -135,46 +141,47 @@
 		if !ok {
 			t.Fatal("the subscription has ended")
 		}
-		// By now the reader has asked the platform anew.
-		asked := reader.Now()
+		// Wait until the reader has polled the platform again.
+		requested := reader.Now()
 		eventually(t, "the reader has a newer proof", func() bool {
 			age, ok := reader.ConfigAge()
-			return ok && age < reader.Now()-asked
+			return ok && age < reader.Now()-requested
 		})
-		reader.Hear(context.Background(), u, asked)
+		reader.Hear(context.Background(), u, requested)
 	}
 	if _, ok := reader.ToldAge(); ok {
-		t.Error("the reader takes its own proofs for another host's")
+		t.Error("the reader counts its own proofs as another host's")
 	}
 }
 
-// TestNothingOldIsTakenFromAnotherHost hears a host that has been left behind.
-func TestNothingOldIsTakenFromAnotherHost(t *testing.T) {
-	behind := watcher(t, func() int { return 3 })
-	ahead := watcher(t, func() int { return 9 })
-	eventually(t, "the new configuration is in force", inForce(ahead, 9))
-	eventually(t, "the old one is known elsewhere", inForce(behind, 3))
-	hear(t, ahead, serve(t, behind))
+// TestOlderConfigurationFromAnotherHostIsIgnored has a host receive updates from a host
+// with an older configuration.
+func TestOlderConfigurationFromAnotherHostIsIgnored(t *testing.T) {
+	behind := newWatcher(t, func() int { return 3 })
+	ahead := newWatcher(t, func() int { return 9 })
+	eventually(t, "the new configuration is in effect", hasConfig(ahead, 9))
+	eventually(t, "the old one is in effect on the other host", hasConfig(behind, 3))
+	receive(t, ahead, serve(t, behind))
 	for range 20 {
-		if !inForce(ahead, 9)() {
-			t.Fatal("an older configuration came back")
+		if !hasConfig(ahead, 9)() {
+			t.Fatal("an older configuration took effect")
 		}
-		_ = pause.For(context.Background(), poll) // never ends early
+		_ = pause.For(context.Background(), pollInterval) // never ends early
 	}
 }
 
-// TestProofAgesWithItsSource ends the only host that reaches the platform.
-func TestProofAgesWithItsSource(t *testing.T) {
-	reader := watcher(t, func() int { return 3 })
-	other := watcher(t, nil)
+// TestProofAgesAfterItsSourceStops stops the only host that reaches the platform.
+func TestProofAgesAfterItsSourceStops(t *testing.T) {
+	reader := newWatcher(t, func() int { return 3 })
+	other := newWatcher(t, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := relay.NewServer(reader)
 	go func() { _ = s.Serve(l) }() // ends with Stop
-	hear(t, other, l.Addr().String())
-	eventually(t, "the configuration is in force", inForce(other, 3))
+	receive(t, other, l.Addr().String())
+	eventually(t, "the configuration is in effect", hasConfig(other, 3))
 	s.Stop()
 	eventually(t, "the proof ages", func() bool {
 		age, ok := other.ConfigAge()
@@ -182,93 +189,93 @@
 	})
 }
 
-// TestOnlyWhatIsNewIsTold subscribes with the rows that are known elsewhere, with
-// others and without any.
-func TestOnlyWhatIsNewIsTold(t *testing.T) {
-	reader := watcher(t, func() int { return 3 })
-	eventually(t, "the configuration is in force", inForce(reader, 3))
-	// It is in force a moment before others are told of its digest.
+// TestRowsAreSentOnlyIfDigestsDiffer subscribes with the current digest, with an
+// outdated one and without any.
+func TestRowsAreSentOnlyIfDigestsDiffer(t *testing.T) {
+	reader := newWatcher(t, func() int { return 3 })
+	eventually(t, "the configuration is in effect", hasConfig(reader, 3))
+	// The digest is published a moment after the configuration takes effect.
 	eventually(t, "its rows have a digest", func() bool { return reader.Digests()["configs"] != 0 })
 	for name, tc := range map[string]struct {
-		knows map[string]uint64
-		rows  bool
+		digests map[string]uint64
+		rows    bool
 	}{
-		"knows nothing":    {nil, true},
-		"knows an old one": {map[string]uint64{"configs": 1}, true},
-		"knows it":         {reader.Digests(), false},
+		"no digests":      {nil, true},
+		"outdated digest": {map[string]uint64{"configs": 1}, true},
+		"current digest":  {reader.Digests(), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			updates, cancel := reader.Subscribe(tc.knows)
+			updates, cancel := reader.Subscribe(tc.digests)
 			defer cancel()
 			for u := range updates {
 				if u.Table != "configs" {
 					continue
 				}
 				if got := len(u.Rows) > 0; got != tc.rows || got != u.Whole {
-					t.Errorf("told %d rows, whole: %v, want rows: %v", len(u.Rows), u.Whole, tc.rows)
+					t.Errorf("received %d rows, whole: %v, want rows: %v", len(u.Rows), u.Whole, tc.rows)
 				}
 				return
 			}
-			t.Error("nothing was told")
+			t.Error("received no update of the table")
 		})
 	}
 }
 
-func TestServerThatCantBeHeardIsLost(t *testing.T) {
-	reader, other := watcher(t, func() int { return 3 }), watcher(t, nil)
-	here := serve(t, reader)
-	const nowhere = "127.0.0.1:1"
+func TestServerThatRefusesConnectionsIsUnreachable(t *testing.T) {
+	reader, other := newWatcher(t, func() int { return 3 }), newWatcher(t, nil)
+	openAddr := serve(t, reader)
+	const closedAddr = "127.0.0.1:1"
 	c := relay.NewClient(other, decision.New(io.Discard))
 	t.Cleanup(func() { c.SetServers(nil) })
-	c.SetServers([]string{here, nowhere})
-	eventually(t, "one is lost and the other is not", func() bool {
-		_, told := other.ToldAge()
-		return told && c.Unreachable(nowhere) && !c.Unreachable(here)
+	c.SetServers([]string{openAddr, closedAddr})
+	eventually(t, "one server is unreachable and the other is not", func() bool {
+		_, ok := other.ToldAge()
+		return ok && c.Unreachable(closedAddr) && !c.Unreachable(openAddr)
 	})
-	c.SetServers([]string{here})
-	if !c.Unreachable(nowhere) {
-		t.Error("a server counts as alive once it is no longer tried")
+	c.SetServers([]string{openAddr})
+	if !c.Unreachable(closedAddr) {
+		t.Error("a server counts as reachable once there are no more attempts")
 	}
 }
 
-// TestStreamOutlivesAnOutage has a host whose platform stops answering, and
-// later has a change.
-func TestStreamOutlivesAnOutage(t *testing.T) {
+// TestStreamSurvivesAPlatformOutage has a host whose platform stops answering, and
+// later answers with a change.
+func TestStreamSurvivesAPlatformOutage(t *testing.T) {
 	var current atomic.Int64
 	current.Store(3)
-	reader, other := watcher(t, func() int { return int(current.Load()) }), watcher(t, nil)
+	reader, other := newWatcher(t, func() int { return int(current.Load()) }), newWatcher(t, nil)
 	c := relay.NewClient(other, decision.New(io.Discard))
 	t.Cleanup(func() { c.SetServers(nil) })
-	here := serve(t, reader)
-	c.SetServers([]string{here})
-	eventually(t, "the configuration is known", inForce(other, 3))
+	openAddr := serve(t, reader)
+	c.SetServers([]string{openAddr})
+	eventually(t, "the configuration is in effect", hasConfig(other, 3))
 	current.Store(-1)
 	for end := time.Now().Add(3500 * time.Millisecond); time.Now().Before(end); {
-		if c.Unreachable(here) {
-			t.Fatal("the stream was given up although its server lives")
+		if c.Unreachable(openAddr) {
+			t.Fatal("the stream was given up although its server is alive")
 		}
-		_ = pause.For(context.Background(), poll) // never ends early
+		_ = pause.For(context.Background(), pollInterval) // never ends early
 	}
 	current.Store(5)
-	eventually(t, "the change is known", inForce(other, 5))
+	eventually(t, "the change is in effect", hasConfig(other, 5))
 }
 
-// TestServerThatKnowsNothingYetIsNotLost hears a host that has not reached the
-// platform so far, and then does.
-func TestServerThatKnowsNothingYetIsNotLost(t *testing.T) {
+// TestServerWithoutStateIsNotUnreachable has a client receive updates from a host that
+// reaches the platform only later.
+func TestServerWithoutStateIsNotUnreachable(t *testing.T) {
 	var current atomic.Int64
 	current.Store(-1)
-	reader, other := watcher(t, func() int { return int(current.Load()) }), watcher(t, nil)
+	reader, other := newWatcher(t, func() int { return int(current.Load()) }), newWatcher(t, nil)
 	c := relay.NewClient(other, decision.New(io.Discard))
 	t.Cleanup(func() { c.SetServers(nil) })
-	here := serve(t, reader)
-	c.SetServers([]string{here})
+	openAddr := serve(t, reader)
+	c.SetServers([]string{openAddr})
 	for end := time.Now().Add(700 * time.Millisecond); time.Now().Before(end); {
-		if c.Unreachable(here) {
-			t.Fatal("a server that lives counts as lost")
+		if c.Unreachable(openAddr) {
+			t.Fatal("a server that is alive counts as unreachable")
 		}
-		_ = pause.For(context.Background(), poll) // never ends early
+		_ = pause.For(context.Background(), pollInterval) // never ends early
 	}
 	current.Store(3)
-	eventually(t, "the configuration is known", inForce(other, 3))
+	eventually(t, "the configuration is in effect", hasConfig(other, 3))
 }
