--- a/daemon/memory/memory.go
+++ b/daemon/memory/memory.go
@@ -1,17 +1,17 @@
-// Package memory sets memory of backend servers aside for prompts that are
-// larger than what one of them has room for.
+// Package memory reserves memory of several backend servers for a prompt that
+// doesn't fit into the memory of one.
 //
-// All of a prompt's reservations are made, or none stays. Each is short and
-// renewed while the prompt needs it, so that what a host leaves behind when it
-// dies lapses by itself. Orders may get no answer and still be carried out,
-// seconds later: a reservation with such an order is released again and again
-// until no late one can be left.
+// The reservations of a prompt are all made, or all released again. Each expires
+// after a short time and is renewed while the prompt needs it, so that reservations
+// of a host that dies expire by themselves. An order may be executed seconds later
+// although it got no answer. A reservation with such an order is therefore released
+// repeatedly, until the order can no longer be executed.
 //
 // # Usage
 //
-//	k := memory.New(orders, log)
-//	h, err := k.Hold(ctx, "id", []memory.Part{{Addr: a, Tokens: n}})
-//	defer h.Release()
+//	r := memory.New(orders, log)
+//	res, err := r.Reserve(ctx, "id", []memory.Share{{Addr: a, Tokens: n}})
+//	defer res.Release()
 package memory
 
 import (
@@ -29,187 +29,193 @@
 )
 
 const (
-	// holdTime is how long a reservation lasts without renewal. It is under
-	// the four seconds within which operators want memory back.
-	holdTime = 3500 * time.Millisecond
-	// renewal leaves time for two more tries before a hold lapses.
-	renewal = 1200 * time.Millisecond
-	// orderTime is for one order to be answered; servers answer within
-	// milliseconds.
-	orderTime = 700 * time.Millisecond
-	// lateTime is how much later an order without an answer may still be
-	// carried out, and latePause lies between the releases meanwhile.
-	lateTime  = 13 * time.Second
-	latePause = 1500 * time.Millisecond
-	// leastWait lies between two questions whether a server takes an order.
-	leastWait = 10 * time.Millisecond
-	// tries bounds releases where no order is late.
-	tries = 3
+	// reservationTTL is how long a reservation lasts without renewal: less than the 4 s
+	// within which operators want the memory back.
+	reservationTTL = 3500 * time.Millisecond
+	// renewInterval leaves time for two more attempts before a reservation
+	// expires.
+	renewInterval = 1200 * time.Millisecond
+	// orderTimeout bounds the wait for the answer to an order, which servers
+	// give within milliseconds.
+	orderTimeout = 700 * time.Millisecond
+	// maxOrderDelay is how much later an order without an answer may still be
+	// executed. In that time the reservation is released after each releasePause.
+	maxOrderDelay = 13 * time.Second
+	releasePause  = 1500 * time.Millisecond
+	// minLimiterWait is the minimum pause between two calls of the limiter for
+	// the same order.
+	minLimiterWait = 10 * time.Millisecond
+	// maxReleaseAttempts bounds the attempts to release a reservation all of
+	// whose orders were answered.
+	maxReleaseAttempts = 3
 )
 
 var (
-	// ErrInsufficientMemory is a server that has not enough free memory.
-	ErrInsufficientMemory = errors.New("the backend server has no room for the reservation")
+	// ErrInsufficientMemory means that a server has too little free memory.
+	ErrInsufficientMemory = errors.New("the backend server has too little free memory for the reservation")
 
-	errLimited = errors.New("the backend server takes no order now, by the limit that it names")
+	errLimited = errors.New("the backend server accepts no order now because of its rate limit or backoff")
 )
 
 type (
-	// Orders are what backend servers can be told.
+	// Orders sends orders to backend servers.
 	Orders struct {
-		// Reserve sets tokens aside, or renews; [ErrNoRoom] if they aren't
-		// free.
-		Reserve func(ctx context.Context, addr, id string, tokens int, hold time.Duration) error
-		// Release ends a reservation.
+		// Reserve reserves memory for a number of tokens, or renews the
+		// reservation with that ID. It returns [ErrInsufficientMemory] if the
+		// server has too little free memory.
+		Reserve func(ctx context.Context, addr, id string, tokens int, ttl time.Duration) error
+		// Release ends the reservation with that ID.
 		Release func(ctx context.Context, addr, id string) error
 	}
 
-	// Share is the memory that is wanted of one server.
+	// Share is the memory to reserve on one server.
 	Share struct {
 		Addr   string
 		Tokens int
 	}
 
-	// Reserver makes and keeps reservations. It is safe for use by many
-	// goroutines.
+	// Reserver makes and renews reservations. It is safe for concurrent use.
 	Reserver struct {
-		orders Orders
-		log    *decision.Log
-		gate   func(ctx context.Context, addr string) (bool, time.Duration)
+		orders  Orders
+		log     *decision.Log
+		limiter func(ctx context.Context, addr string) (bool, time.Duration)
 	}
 
-	// Option changes a keeper under construction.
+	// Option configures a Reserver.
 	Option func(*Reserver)
 
-	// Reservation is a set of reservations with one ID.
+	// Reservation is the set of a prompt's reservations, one on each server, under
+	// one ID.
 	Reservation struct {
-		keeper *Reserver
-		id     string
-		parts  []Share
-		cancel context.CancelFunc
-		done   sync.WaitGroup
-
-		mu   sync.Mutex
-		late map[string]bool // addresses with an order that got no answer
+		reserver *Reserver
+		id       string
+		shares   []Share
+		cancel   context.CancelFunc
+		renewals sync.WaitGroup
+
+		mu         sync.Mutex
+		unanswered map[string]bool // addresses with an order that got no answer
 	}
 )
 
-// WithLimiter sets what is asked before each order whether a server takes it, and after
-// how long it does if not.
+// WithLimiter sets a function that is called before each order. It reports whether the
+// server accepts an order now, and if not, after how long to ask again.
 func WithLimiter(f func(ctx context.Context, addr string) (bool, time.Duration)) Option {
-	return func(k *Reserver) { k.gate = f }
+	return func(r *Reserver) { r.limiter = f }
 }
 
-// New returns a keeper.
+// New returns a Reserver without a limiter unless WithLimiter is given.
 func New(o Orders, l *decision.Log, os ...Option) *Reserver {
-	k := &Reserver{
+	r := &Reserver{
 		orders: o, log: l,
-		gate: func(context.Context, string) (bool, time.Duration) { return true, 0 },
+		limiter: func(context.Context, string) (bool, time.Duration) { return true, 0 },
 	}
 	for _, o := range os {
-		o(k)
+		o(r)
 	}
-	return k
+	return r
 }
 
-// Reserve makes all reservations or none, and renews them until Release. The ID
-// must be used once only.
-func (k *Reserver) Reserve(ctx context.Context, id string, parts []Share) (*Reservation, error) {
-	h := &Reservation{keeper: k, id: id, parts: parts, late: map[string]bool{}}
+// Reserve makes all reservations or none, and renews them until Release is called. An
+// ID must not be used again.
+func (r *Reserver) Reserve(ctx context.Context, id string, shares []Share) (*Reservation, error) {
+	res := &Reservation{reserver: r, id: id, shares: shares, unanswered: map[string]bool{}}
 	var g errgroup.Group
-	for _, p := range parts {
-		g.Go(func() error { return h.reserve(ctx, p, 0) })
+	for _, share := range shares {
+		g.Go(func() error { return res.reserve(ctx, share, 0) })
 	}
 	renewing, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	h.cancel = cancel
+	res.cancel = cancel
 	if err := g.Wait(); err != nil {
-		h.Release()
+		res.Release()
 		return nil, err
 	}
-	for _, p := range parts {
-		h.done.Go(func() { h.renew(renewing, p) })
+	for _, share := range shares {
+		res.renewals.Go(func() { res.renew(renewing, share) })
 	}
-	return h, nil
+	return res, nil
 }
 
-// reserve makes or renews one reservation. It waits so long for a server that takes no
-// order now.
-func (h *Reservation) reserve(ctx context.Context, p Share, wait time.Duration) error {
-	if !h.permitted(ctx, p, wait) {
+// reserve makes or renews the reservation of one share. If the server accepts no order
+// now, reserve waits for at most maxWait.
+func (res *Reservation) reserve(ctx context.Context, share Share, maxWait time.Duration) error {
+	if !res.waitPermitted(ctx, share, maxWait) {
 		return errLimited
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := h.keeper.orders.Reserve(ctx, p.Addr, h.id, p.Tokens, holdTime)
+	err := res.reserver.orders.Reserve(ctx, share.Addr, res.id, share.Tokens, reservationTTL)
 	if err != nil && !errors.Is(err, ErrInsufficientMemory) {
-		h.mu.Lock()
-		h.late[p.Addr] = true
-		h.mu.Unlock()
+		res.mu.Lock()
+		res.unanswered[share.Addr] = true
+		res.mu.Unlock()
 	}
 	return err
 }
 
-// permitted reports whether a server takes an order, if need be after a wait.
-func (h *Reservation) permitted(ctx context.Context, p Share, most time.Duration) bool {
-	for begun := time.Now(); ; {
-		ok, wait := h.keeper.gate(ctx, p.Addr)
+// waitPermitted waits for at most maxWait until a server accepts an order, and reports
+// whether it does.
+func (res *Reservation) waitPermitted(ctx context.Context, share Share, maxWait time.Duration) bool {
+	for start := time.Now(); ; {
+		ok, wait := res.reserver.limiter(ctx, share.Addr)
 		if ok {
 			return true
 		}
-		if time.Since(begun)+wait > most || pause.For(ctx, max(wait, leastWait)) != nil {
+		if time.Since(start)+wait > maxWait || pause.For(ctx, max(wait, minLimiterWait)) != nil {
 			return false
 		}
 	}
 }
 
-// renew keeps one reservation alive.
-func (h *Reservation) renew(ctx context.Context, p Share) {
-	for pause.For(ctx, renewal) == nil {
-		if err := h.reserve(ctx, p, renewal); err != nil && ctx.Err() == nil {
-			h.keeper.log.Write(event.OrderFailed, slog.String("doing", "renew"), slog.String("id", h.id),
-				slog.String("server", p.Addr), slog.String("error", err.Error()))
+// renew renews the reservation of one share until ctx ends.
+func (res *Reservation) renew(ctx context.Context, share Share) {
+	for pause.For(ctx, renewInterval) == nil {
+		if err := res.reserve(ctx, share, renewInterval); err != nil && ctx.Err() == nil {
+			res.reserver.log.Write(event.OrderFailed, slog.String("doing", "renew"), slog.String("id", res.id),
+				slog.String("server", share.Addr), slog.String("error", err.Error()))
 		}
 	}
 }
 
-// Release gives the memory back. It returns at once; the orders go on in the
+// Release ends the reservations. It returns at once and sends the orders in the
 // background.
-func (h *Reservation) Release() {
-	h.cancel()
+func (res *Reservation) Release() {
+	res.cancel()
 	go func() {
-		h.done.Wait()
-		for _, p := range h.parts {
-			go h.release(p)
+		res.renewals.Wait()
+		for _, share := range res.shares {
+			go res.release(share)
 		}
 	}()
 }
 
-// release releases one reservation. One that a limited server can't be told of lapses by
-// itself.
-func (h *Reservation) release(p Share) {
-	h.mu.Lock()
-	late := h.late[p.Addr]
-	h.mu.Unlock()
-	begun := time.Now()
+// release ends the reservation of one share. If the server accepts no order because of
+// its rate limit, the reservation expires by itself.
+func (res *Reservation) release(share Share) {
+	res.mu.Lock()
+	unanswered := res.unanswered[share.Addr]
+	res.mu.Unlock()
+	start := time.Now()
 	for n := 1; ; n++ {
-		err := h.sendRelease(p)
+		err := res.sendRelease(share)
 		switch {
-		case late && time.Since(begun) > lateTime, !late && err == nil, !late && n >= tries:
+		case unanswered && time.Since(start) > maxOrderDelay, !unanswered && err == nil, !unanswered && n >= maxReleaseAttempts:
 			if err != nil {
-				h.keeper.log.Write(event.OrderFailed, slog.String("doing", "release"), slog.String("id", h.id),
-					slog.String("server", p.Addr), slog.String("error", err.Error()))
+				res.reserver.log.Write(event.OrderFailed, slog.String("doing", "release"), slog.String("id", res.id),
+					slog.String("server", share.Addr), slog.String("error", err.Error()))
 			}
 			return
 		}
-		_ = pause.For(context.Background(), latePause) // never ends early
+		_ = pause.For(context.Background(), releasePause) // never ends early
 	}
 }
 
-func (h *Reservation) sendRelease(p Share) error {
-	if !h.permitted(context.Background(), p, latePause) {
+// sendRelease sends one order to end the reservation of a share.
+func (res *Reservation) sendRelease(share Share) error {
+	if !res.waitPermitted(context.Background(), share, releasePause) {
 		return errLimited
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	return h.keeper.orders.Release(ctx, p.Addr, h.id)
+	return res.reserver.orders.Release(ctx, share.Addr, res.id)
 }
--- a/daemon/memory/memory_test.go
+++ b/daemon/memory/memory_test.go
@@ -18,19 +18,19 @@
 	"slipcrank.example/daemon/memory"
 )
 
-// server is a backend server's memory, in a bubble's time.
+// server simulates the memory of a backend server, within a synctest bubble.
 type server struct {
-	mu     sync.Mutex
-	until  time.Time // of the reservation
-	refuse bool
-	lose   int           // so many answers to reservations are lost
-	late   time.Duration // those are carried out so much later
-	orders []time.Time
+	mu            sync.Mutex
+	reservedUntil time.Time
+	refuse        bool
+	lose          int           // number of reserve orders whose answers are lost
+	delay         time.Duration // after which those orders are executed
+	orders        []time.Time   // when orders arrived
 }
 
 var errLost = errors.New("no answer")
 
-func (s *server) reserve(hold time.Duration) error {
+func (s *server) reserve(ttl time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orders = append(s.orders, time.Now())
@@ -39,34 +39,34 @@
 	}
 	if s.lose > 0 {
 		s.lose--
-		time.AfterFunc(s.late, func() {
+		time.AfterFunc(s.delay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.until = time.Now().Add(hold)
+			s.reservedUntil = time.Now().Add(ttl)
 		})
 		return errLost
 	}
-	s.until = time.Now().Add(hold)
+	s.reservedUntil = time.Now().Add(ttl)
 	return nil
 }
 
 func (s *server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = time.Time{}
+	s.reservedUntil = time.Time{}
 	s.orders = append(s.orders, time.Now())
 }
 
-func (s *server) held() bool {
+func (s *server) reserved() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Now().Before(s.until)
+	return time.Now().Before(s.reservedUntil)
 }
 
-func keeper(servers map[string]*server, l *decision.Log, os ...memory.Option) *memory.Reserver {
+func newReserver(servers map[string]*server, l *decision.Log, os ...memory.Option) *memory.Reserver {
 	return memory.New(memory.Orders{
-		Reserve: func(_ context.Context, addr, _ string, _ int, hold time.Duration) error {
-			return servers[addr].reserve(hold)
+		Reserve: func(_ context.Context, addr, _ string, _ int, ttl time.Duration) error {
+			return servers[addr].reserve(ttl)
 		},
 		Release: func(_ context.Context, addr, _ string) error {
 			servers[addr].release()
@@ -75,100 +75,101 @@
 	}, l, os...)
 }
 
-func after(d time.Duration) {
+// advance lets the bubble's time advance.
+func advance(d time.Duration) {
 	_ = pause.For(context.Background(), d) // never ends early
 	synctest.Wait()
 }
 
-func TestHold(t *testing.T) {
+func TestReserve(t *testing.T) {
 	for name, tc := range map[string]struct {
-		a, b *server
-		held bool // both, while it is wanted
+		a, b     *server
+		reserved bool // on both servers, until Release
 	}{
-		"both have room":               {&server{}, &server{}, true},
-		"one has none":                 {&server{}, &server{refuse: true}, false},
-		"one is lost and never comes":  {&server{}, &server{lose: 1, late: time.Hour}, false},
-		"one is carried out too late":  {&server{}, &server{lose: 1, late: 5 * time.Second}, false},
-		"one is carried out very late": {&server{lose: 1, late: 12 * time.Second}, &server{}, false},
+		"both have free memory":            {&server{}, &server{}, true},
+		"one has none":                     {&server{}, &server{refuse: true}, false},
+		"one order is lost":                {&server{}, &server{lose: 1, delay: time.Hour}, false},
+		"one order is executed after 5 s":  {&server{}, &server{lose: 1, delay: 5 * time.Second}, false},
+		"one order is executed after 12 s": {&server{lose: 1, delay: 12 * time.Second}, &server{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := decision.New(io.Discard)
 				defer l.Close()
 				servers := map[string]*server{"a": tc.a, "b": tc.b}
-				h, err := keeper(servers, l).Reserve(context.Background(), "id", []memory.Share{{Addr: "a", Tokens: 5}, {Addr: "b", Tokens: 5}})
-				if (err == nil) != tc.held {
+				res, err := newReserver(servers, l).Reserve(context.Background(), "id", []memory.Share{{Addr: "a", Tokens: 5}, {Addr: "b", Tokens: 5}})
+				if (err == nil) != tc.reserved {
 					t.Fatalf("got %v", err)
 				}
-				if h != nil {
-					after(10 * time.Second)
-					if !tc.a.held() || !tc.b.held() {
-						t.Error("a reservation lapsed while it was wanted")
+				if res != nil {
+					advance(10 * time.Second)
+					if !tc.a.reserved() || !tc.b.reserved() {
+						t.Error("a reservation expired before Release")
 					}
-					h.Release()
+					res.Release()
 				}
-				// An order that comes late sets memory aside for no longer
+				// An order that is executed late reserves memory for no longer
 				// than the pause between two releases.
-				freed := time.Duration(0)
+				free := time.Duration(0)
 				for range 40 {
-					after(500 * time.Millisecond)
-					if freed += 500 * time.Millisecond; tc.a.held() || tc.b.held() {
-						freed = 0
+					advance(500 * time.Millisecond)
+					if free += 500 * time.Millisecond; tc.a.reserved() || tc.b.reserved() {
+						free = 0
 					}
 				}
-				if freed < 5*time.Second {
-					t.Errorf("memory was held %v before the end", freed)
+				if free < 5*time.Second {
+					t.Errorf("memory was still reserved %v before the end", free)
 				}
 			})
 		})
 	}
 }
 
-// TestOrdersStayWithinALimit holds memory of one server for eight prompts, and has the
-// server name a limit meanwhile.
-func TestOrdersStayWithinALimit(t *testing.T) {
+// TestOrdersStayWithinARateLimit reserves memory of one server for eight prompts, and
+// has the server report a rate limit meanwhile.
+func TestOrdersStayWithinARateLimit(t *testing.T) {
 	const (
 		span    = 4 * time.Second
 		limit   = 1
-		allowed = 11 // 1.5 times what the limit allows in that span, and 5
+		allowed = 11 // 1.5 times the limit in that span, plus 5
 	)
 	synctest.Test(t, func(t *testing.T) {
 		l := decision.New(io.Discard)
 		defer l.Close()
-		s, ledger, begun := &server{}, grant.NewBuckets(), time.Now()
+		s, buckets, start := &server{}, grant.NewBuckets(), time.Now()
 		var limited atomic.Bool
-		k := keeper(map[string]*server{"a": s}, l, memory.WithLimiter(func(context.Context, string) (bool, time.Duration) {
+		r := newReserver(map[string]*server{"a": s}, l, memory.WithLimiter(func(context.Context, string) (bool, time.Duration) {
 			if !limited.Load() {
 				return true, 0
 			}
-			return ledger.Take("a", limit, time.Since(begun))
+			return buckets.Take("a", limit, time.Since(start))
 		}))
-		var holds []*memory.Reservation
+		var reservations []*memory.Reservation
 		for n := range 8 {
-			h, err := k.Reserve(t.Context(), fmt.Sprint(n), []memory.Share{{Addr: "a", Tokens: 1}})
+			res, err := r.Reserve(t.Context(), fmt.Sprint(n), []memory.Share{{Addr: "a", Tokens: 1}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			holds = append(holds, h)
+			reservations = append(reservations, res)
 		}
 		limited.Store(true)
-		from := time.Now()
-		after(2 * span)
-		for _, h := range holds {
-			h.Release()
+		limitedSince := time.Now()
+		advance(2 * span)
+		for _, res := range reservations {
+			res.Release()
 		}
-		after(2 * span)
+		advance(2 * span)
 		for i, at := range s.orders {
 			n := 0
 			for n < len(s.orders)-i && s.orders[i+n].Before(at.Add(span)) {
 				n++
 			}
-			if at.After(from) && n > allowed {
+			if at.After(limitedSince) && n > allowed {
 				t.Errorf("%d orders in %v, allowed %d", n, span, allowed)
 			}
 		}
-		if s.held() {
-			t.Error("memory is held after the end")
+		if s.reserved() {
+			t.Error("memory is still reserved after Release")
 		}
 	})
 }
