--- a/daemon/grants/grants.go
+++ b/daemon/grants/grants.go
@@ -1,17 +1,18 @@
-// Package grants asks the holder of a rate-limited backend server's bucket for each
-// request that is to go there, and answers those that ask this host. Package
-// [grant] says who holds it and why.
+// Package grants asks the holder of a rate-limited backend server's token bucket to
+// grant each request to that server, and replies to other hosts where this host is
+// the holder. Package [grant] describes how the holder is chosen.
 //
-// A question is a datagram, and so is its answer. Without an answer in time nothing is
-// granted: what is lost costs a request to one server, never more than a limit allows.
+// Requests for a grant and replies are datagrams. Without a reply in time nothing is
+// granted. A lost datagram can thus prevent a request to a server, but never cause
+// more requests than the limit allows.
 //
 // # Usage
 //
-//	k := grants.New(host, hall, notices, send, clock.Now)
-//	k.SetHosts(others)                                     // on each change
-//	ok, wait := k.Take(ctx, server)
-//	reply := k.Answer(number, question)                    // of another host
-//	k.Answered(number, reply)
+//	c := grants.New(host, hall, notices, send, clock.Now)
+//	c.SetHosts(others)                                     // on each change
+//	ok, wait := c.Take(ctx, server)
+//	reply := c.HandleRequest(number, request)              // of another host
+//	c.HandleReply(number, reply)
 package grants
 
 import (
@@ -27,14 +28,15 @@
 )
 
 const (
-	// askTime bounds the wait for an answer: hosts that get a fifth of a core answer
-	// within some 10 ms, and the request may go to another server meanwhile.
-	askTime = 100 * time.Millisecond
-	// otherWait is after how long a host may ask again that asked one which isn't the
-	// holder, or got no answer.
-	otherWait = 200 * time.Millisecond
-	// pingPause lies between two questions to a host that isn't asked for a request.
-	pingPause = 200 * time.Millisecond
+	// replyTimeout bounds the wait for a reply. Hosts with a fifth of a core reply
+	// within some 10 ms, and a request that waits could be sent to another server.
+	replyTimeout = 100 * time.Millisecond
+	// retryWait is the wait after which a host may ask again if it got no reply, or
+	// has asked a host that isn't the holder.
+	retryWait = 200 * time.Millisecond
+	// pingInterval is the minimum time between an unanswered request to a host and a
+	// ping.
+	pingInterval = 200 * time.Millisecond
 )
 
 type (
@@ -42,199 +44,202 @@
 	Host struct {
 		Name, Hall string
 		Addr       netip.AddrPort
-		// Number tells its starts apart.
+		// Number identifies the start of the host's daemon.
 		Number uint32
 	}
 
-	// Coordinator takes requests of limited servers, from its own ledger or another host's.
-	// It is safe for use by many goroutines.
+	// Coordinator obtains grants for requests to rate-limited servers, from the buckets
+	// of this host or from the holder. It is safe for concurrent use.
 	Coordinator struct {
 		self    grant.Host
 		notices *notice.Registry
 		send    func(to netip.AddrPort, q grant.Request)
 		now     func() time.Duration
-		ledger  *grant.Buckets
+		buckets *grant.Buckets
 
-		mu      sync.Mutex
-		hosts   []Host
-		byName  map[string]Host
-		orders  map[string][]string // by server, of these hosts
-		reach   *grant.Reachability
-		next    uint32
-		waiting map[uint32]chan grant.Reply
+		mu       sync.Mutex
+		hosts    []Host
+		byName   map[string]Host
+		rankings map[string][]string // host names by preference as the holder, by server
+		reach    *grant.Reachability
+		lastID   uint32
+		pending  map[uint32]chan grant.Reply // by ID of the request
 	}
 )
 
-// New returns a keeper that knows no other hosts.
-func New(name, hall string, b *notice.Registry, send func(to netip.AddrPort, q grant.Request), now func() time.Duration) *Coordinator {
+// New returns a Coordinator without other hosts.
+func New(name, hall string, notices *notice.Registry, send func(to netip.AddrPort, q grant.Request), now func() time.Duration) *Coordinator {
 	return &Coordinator{
-		self: grant.Host{Name: name, Hall: hall}, notices: b, send: send, now: now,
-		ledger:  grant.NewBuckets(),
-		byName:  map[string]Host{},
-		orders:  map[string][]string{},
-		reach:   grant.NewReachability(),
-		waiting: map[uint32]chan grant.Reply{},
+		self: grant.Host{Name: name, Hall: hall}, notices: notices, send: send, now: now,
+		buckets:  grant.NewBuckets(),
+		byName:   map[string]Host{},
+		rankings: map[string][]string{},
+		reach:    grant.NewReachability(),
+		pending:  map[uint32]chan grant.Reply{},
 	}
 }
 
-// SetHosts sets the other hosts, in an order that stays.
-func (k *Coordinator) SetHosts(hosts []Host) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if slices.Equal(hosts, k.hosts) {
+// SetHosts sets the other hosts. They must be passed in a stable order.
+func (c *Coordinator) SetHosts(hosts []Host) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if slices.Equal(hosts, c.hosts) {
 		return
 	}
-	k.hosts = slices.Clone(hosts)
-	clear(k.orders)
-	clear(k.byName)
+	c.hosts = slices.Clone(hosts)
+	clear(c.rankings)
+	clear(c.byName)
 	for _, h := range hosts {
-		k.byName[h.Name] = h
+		c.byName[h.Name] = h
 	}
-	k.reach.Retain(func(name string) bool { _, ok := k.byName[name]; return ok })
+	c.reach.Retain(func(name string) bool { _, ok := c.byName[name]; return ok })
 }
 
-// Take takes one request of a server. If it may not have one now, Take reports false
-// and after how long it may.
-func (k *Coordinator) Take(ctx context.Context, s backend.Server) (bool, time.Duration) {
-	l := k.notices.Limit(s.ID)
+// Take obtains a grant for one request to a server. If there is none, it returns false
+// and the time after which to ask again. Servers without a limit are always granted.
+func (c *Coordinator) Take(ctx context.Context, s backend.Server) (bool, time.Duration) {
+	l := c.notices.Limit(s.ID)
 	if !l.Limited {
 		return true, 0
 	}
-	hosts := k.holders(s.ID, s.Hall)
+	hosts := c.holders(s.ID, s.Hall)
 	if len(hosts) == 0 {
-		return k.ledger.Take(s.ID, l.Rate, k.now())
+		return c.buckets.Take(s.ID, l.Rate, c.now())
 	}
-	k.ledger.Drop(s.ID)
-	// The next one knows whether the first has gone, sooner than hosts that ask seldom.
+	c.buckets.Drop(s.ID)
+	// If the first candidate doesn't reply, ask the next one. It notices sooner that
+	// the first is gone than a host that seldom asks.
 	for _, h := range hosts {
-		if r, ok := k.ask(ctx, h, grant.Request{Server: s.ID, Hall: s.Hall, Limit: l}); ok {
-			k.notices.MergeLimit(s.ID, r.Limit, k.now())
+		if r, ok := c.ask(ctx, h, grant.Request{Server: s.ID, Hall: s.Hall, Limit: l}); ok {
+			c.notices.MergeLimit(s.ID, r.Limit, c.now())
 			return r.Granted, r.Wait
 		}
 	}
-	return false, otherWait
+	return false, retryWait
 }
 
-// HandleRequest answers a question of another host. One that isn't known yet is granted
-// nothing, but sees that this host is there.
-func (k *Coordinator) HandleRequest(host uint32, q grant.Request) grant.Reply {
-	r := grant.Reply{ID: q.ID, Server: q.Server, Wait: otherWait}
-	if !k.heard(host) {
-		r.Limit = k.notices.Limit(q.Server)
+// HandleRequest returns the reply to a request of another host. A host that isn't known
+// yet is granted nothing, but learns from the reply that this host is reachable.
+func (c *Coordinator) HandleRequest(host uint32, q grant.Request) grant.Reply {
+	r := grant.Reply{ID: q.ID, Server: q.Server, Wait: retryWait}
+	if !c.messageReceived(host) {
+		r.Limit = c.notices.Limit(q.Server)
 		return r
 	}
-	k.notices.MergeLimit(q.Server, q.Limit, k.now())
-	if r.Limit = k.notices.Limit(q.Server); q.Ping {
+	c.notices.MergeLimit(q.Server, q.Limit, c.now())
+	if r.Limit = c.notices.Limit(q.Server); q.Ping {
 		return r
 	}
-	hosts := k.holders(q.Server, q.Hall)
+	hosts := c.holders(q.Server, q.Hall)
 	switch {
 	case len(hosts) > 0:
-		k.ledger.Drop(q.Server)
-		k.ping(hosts[0]) // it may be gone, and this host the next
+		c.buckets.Drop(q.Server)
+		c.ping(hosts[0]) // if it is gone, this host may be the next holder
 	case !r.Limit.Limited:
 		r.Granted = true
 	default:
-		r.Granted, r.Wait = k.ledger.Take(q.Server, r.Limit.Rate, k.now())
+		r.Granted, r.Wait = c.buckets.Take(q.Server, r.Limit.Rate, c.now())
 	}
 	return r
 }
 
-// Retain drops what is kept of servers that aren't listed any more.
-func (k *Coordinator) Retain(listed func(server string) bool) {
-	k.ledger.Retain(listed)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for server := range k.orders {
+// Retain drops the state of servers that are no longer listed.
+func (c *Coordinator) Retain(listed func(server string) bool) {
+	c.buckets.Retain(listed)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for server := range c.rankings {
 		if !listed(server) {
-			delete(k.orders, server)
+			delete(c.rankings, server)
 		}
 	}
 }
 
-// HandleReply takes in an answer of another host.
-func (k *Coordinator) HandleReply(host uint32, r grant.Reply) {
-	if !k.heard(host) {
+// HandleReply passes the reply of another host to the goroutine that waits for it.
+func (c *Coordinator) HandleReply(host uint32, r grant.Reply) {
+	if !c.messageReceived(host) {
 		return
 	}
-	k.mu.Lock()
-	c := k.waiting[r.ID]
-	delete(k.waiting, r.ID)
-	k.mu.Unlock()
-	if c != nil {
-		c <- r
+	c.mu.Lock()
+	reply := c.pending[r.ID]
+	delete(c.pending, r.ID)
+	c.mu.Unlock()
+	if reply != nil {
+		reply <- r
 	}
 }
 
-// heard notes that a host has said something, and reports whether it is known.
-func (k *Coordinator) heard(number uint32) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	i := slices.IndexFunc(k.hosts, func(h Host) bool { return h.Number == number })
+// messageReceived records that a host has sent a message, and reports whether the host
+// is known.
+func (c *Coordinator) messageReceived(number uint32) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	i := slices.IndexFunc(c.hosts, func(h Host) bool { return h.Number == number })
 	if i < 0 {
 		return false
 	}
-	k.reach.ReplyReceived(k.hosts[i].Name)
+	c.reach.ReplyReceived(c.hosts[i].Name)
 	return true
 }
 
-// holders returns the host that holds a server's bucket and the next one, of those
-// before this host; none if this one holds it. Hosts that are silent are asked whether
-// they are back.
-func (k *Coordinator) holders(server, hall string) []Host {
-	now := k.now()
-	var holders, silent []Host
-	k.mu.Lock()
-	for _, name := range k.order(server, hall) {
-		if name == k.self.Name || len(holders) == 2 {
+// holders returns the first two responsive hosts that rank before this host as the
+// holder of a server's bucket: the holder and the next one. It returns none if this
+// host is the holder. It pings the unresponsive hosts among those that rank before
+// this host, to learn whether they are back.
+func (c *Coordinator) holders(server, hall string) []Host {
+	now := c.now()
+	var holders, unresponsive []Host
+	c.mu.Lock()
+	for _, name := range c.ranking(server, hall) {
+		if name == c.self.Name || len(holders) == 2 {
 			break
 		}
-		if k.reach.Unresponsive(name, now) {
-			silent = append(silent, k.byName[name])
+		if c.reach.Unresponsive(name, now) {
+			unresponsive = append(unresponsive, c.byName[name])
 		} else {
-			holders = append(holders, k.byName[name])
+			holders = append(holders, c.byName[name])
 		}
 	}
-	k.mu.Unlock()
-	for _, h := range silent {
-		k.ping(h)
+	c.mu.Unlock()
+	for _, h := range unresponsive {
+		c.ping(h)
 	}
 	return holders
 }
 
-// order returns the names of all hosts in the order in which they hold a server's bucket.
-// The keeper is locked.
-func (k *Coordinator) order(server, hall string) []string {
-	if order, known := k.orders[server]; known {
-		return order
+// ranking returns the names of all hosts in the order of preference as the holder of a
+// server's bucket. The Coordinator must be locked.
+func (c *Coordinator) ranking(server, hall string) []string {
+	if ranking, known := c.rankings[server]; known {
+		return ranking
 	}
-	hosts := []grant.Host{k.self}
-	for _, h := range k.hosts {
+	hosts := []grant.Host{c.self}
+	for _, h := range c.hosts {
 		hosts = append(hosts, grant.Host{Name: h.Name, Hall: h.Hall})
 	}
-	k.orders[server] = grant.RankHolders(server, hall, hosts)
-	return k.orders[server]
+	c.rankings[server] = grant.RankHolders(server, hall, hosts)
+	return c.rankings[server]
 }
 
-// ask asks a host, and reports whether it has answered.
-func (k *Coordinator) ask(ctx context.Context, h Host, q grant.Request) (grant.Reply, bool) {
-	c := make(chan grant.Reply, 1)
-	k.mu.Lock()
-	k.next++
-	q.ID = k.next
-	k.waiting[q.ID] = c
-	k.reach.RequestSent(h.Name, k.now())
-	k.mu.Unlock()
+// ask sends a request to a host and returns the reply, or false if there is none in time.
+func (c *Coordinator) ask(ctx context.Context, h Host, q grant.Request) (grant.Reply, bool) {
+	reply := make(chan grant.Reply, 1)
+	c.mu.Lock()
+	c.lastID++
+	q.ID = c.lastID
+	c.pending[q.ID] = reply
+	c.reach.RequestSent(h.Name, c.now())
+	c.mu.Unlock()
 	defer func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		delete(k.waiting, q.ID)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		delete(c.pending, q.ID)
 	}()
-	k.send(h.Addr, q)
-	timeout := time.NewTimer(askTime)
+	c.send(h.Addr, q)
+	timeout := time.NewTimer(replyTimeout)
 	defer timeout.Stop()
 	select {
-	case r := <-c:
+	case r := <-reply:
 		return r, true
 	case <-timeout.C:
 	case <-ctx.Done():
@@ -242,17 +247,18 @@
 	return grant.Reply{}, false
 }
 
-// ping asks whether a host is there, unless it was asked a moment ago.
-func (k *Coordinator) ping(h Host) {
-	now := k.now()
-	k.mu.Lock()
-	ago, open := k.reach.SinceUnanswered(h.Name, now)
-	again := !open || ago >= pingPause
-	if again {
-		k.reach.RequestSent(h.Name, now)
+// ping sends a host a request that asks for a reply only, unless another request has
+// been unanswered for less than pingInterval.
+func (c *Coordinator) ping(h Host) {
+	now := c.now()
+	c.mu.Lock()
+	since, unanswered := c.reach.SinceUnanswered(h.Name, now)
+	due := !unanswered || since >= pingInterval
+	if due {
+		c.reach.RequestSent(h.Name, now)
 	}
-	k.mu.Unlock()
-	if again {
-		k.send(h.Addr, grant.Request{Ping: true})
+	c.mu.Unlock()
+	if due {
+		c.send(h.Addr, grant.Request{Ping: true})
 	}
 }
--- a/daemon/grants/grants_test.go
+++ b/daemon/grants/grants_test.go
@@ -18,50 +18,52 @@
 )
 
 const (
-	// window is the span over which grants are counted.
+	// window is the length of the windows in which grants are counted.
 	window = 4 * time.Second
-	// way is how long a datagram takes.
-	way = time.Millisecond
-	// callerPause is the mean time between two requests of all hosts for the server.
-	callerPause = 10 * time.Millisecond
-	playTime    = 30 * time.Second
-	// faultAt and faultEnd are when something befalls hosts.
-	faultAt, faultEnd = 8 * time.Second, 16 * time.Second
-	// used is the part of its limit that a server gets at least while callers wait for it.
-	used = 0.5
+	// latency is how long a datagram takes.
+	latency = time.Millisecond
+	// requestInterval is the mean time between two requests to the server, of all hosts
+	// together.
+	requestInterval = 10 * time.Millisecond
+	runTime         = 30 * time.Second
+	// faultStart and faultEnd are the times at which the fault begins and ends.
+	faultStart, faultEnd = 8 * time.Second, 16 * time.Second
+	// minUtilization is the share of its limit that the server must get at least, since
+	// there are always requests for it.
+	minUtilization = 0.5
 )
 
 type (
-	// fleet is hosts that ask each other over a network of this process.
+	// fleet simulates hosts that ask each other over a network.
 	fleet struct {
-		begun   time.Time
-		hosts   []*host
-		loss    float64
-		server  backend.Server
-		carried sync.WaitGroup // datagrams on their way
+		start    time.Time
+		hosts    []*host
+		loss     float64
+		server   backend.Server
+		inFlight sync.WaitGroup // datagrams
 
-		mu      sync.Mutex
-		granted []time.Duration
-		down    func(h *host, now time.Duration) bool
-		cut     func(a, b *host, now time.Duration) bool
-		away    func(h *host, now time.Duration) bool // from the server: nothing arrives there
+		mu                sync.Mutex
+		granted           []time.Duration
+		down              func(h *host, now time.Duration) bool
+		partitioned       func(a, b *host, now time.Duration) bool
+		serverUnreachable func(h *host, now time.Duration) bool // requests of h don't arrive
 	}
 
 	host struct {
 		Host
-		keeper *Coordinator
+		coordinator *Coordinator
 	}
 )
 
-func (f *fleet) now() time.Duration { return time.Since(f.begun) }
+func (f *fleet) now() time.Duration { return time.Since(f.start) }
 
-// newFleet returns hosts in three halls, all of which know that the server names a limit.
+// newFleet returns hosts in three halls, all of which know the server's limit.
 func newFleet(hosts int, limit float64) *fleet {
 	f := &fleet{
-		begun: time.Now(), server: backend.Server{ID: "i-1", Hall: "hall-0"},
-		down: func(*host, time.Duration) bool { return false },
-		cut:  func(*host, *host, time.Duration) bool { return false },
-		away: func(*host, time.Duration) bool { return false },
+		start: time.Now(), server: backend.Server{ID: "i-1", Hall: "hall-0"},
+		down:              func(*host, time.Duration) bool { return false },
+		partitioned:       func(*host, *host, time.Duration) bool { return false },
+		serverUnreachable: func(*host, time.Duration) bool { return false },
 	}
 	for n := range hosts {
 		h := &host{Host: Host{
@@ -70,11 +72,11 @@
 		}}
 		b := notice.NewRegistry()
 		b.MergeLimit("i-1", notice.Limit{Version: 1, Limited: true, Rate: limit}, 0)
-		h.keeper = New(h.Name, h.Hall, b, func(to netip.AddrPort, q grant.Request) { f.carry(h, to, q) }, f.now)
+		h.coordinator = New(h.Name, h.Hall, b, func(to netip.AddrPort, q grant.Request) { f.send(h, to, q) }, f.now)
 		f.hosts = append(f.hosts, h)
 	}
 	for _, h := range f.hosts {
-		h.keeper.SetHosts(f.others(h))
+		h.coordinator.SetHosts(f.others(h))
 	}
 	return f
 }
@@ -89,48 +91,50 @@
 	return others
 }
 
-// passes reports whether a datagram gets from one host to another.
-func (f *fleet) passes(a, b *host) bool {
+// delivers reports whether the network delivers a datagram from one host to another.
+func (f *fleet) delivers(a, b *host) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	return !f.down(a, now) && !f.down(b, now) && !f.cut(a, b, now) && rand.Float64() >= f.loss
+	return !f.down(a, now) && !f.down(b, now) && !f.partitioned(a, b, now) && rand.Float64() >= f.loss
 }
 
-func (f *fleet) carry(from *host, to netip.AddrPort, q grant.Request) {
+// send sends a request to a host and the reply back.
+func (f *fleet) send(from *host, to netip.AddrPort, q grant.Request) {
 	i := slices.IndexFunc(f.hosts, func(h *host) bool { return h.Addr == to })
-	f.carried.Go(func() {
-		if pause.For(context.Background(), way) != nil || !f.passes(from, f.hosts[i]) {
+	f.inFlight.Go(func() {
+		if pause.For(context.Background(), latency) != nil || !f.delivers(from, f.hosts[i]) {
 			return
 		}
-		r := f.hosts[i].keeper.HandleRequest(from.Number, q)
-		if pause.For(context.Background(), way) == nil && f.passes(f.hosts[i], from) {
-			from.keeper.HandleReply(f.hosts[i].Number, r)
+		r := f.hosts[i].coordinator.HandleRequest(from.Number, q)
+		if pause.For(context.Background(), latency) == nil && f.delivers(f.hosts[i], from) {
+			from.coordinator.HandleReply(f.hosts[i].Number, r)
 		}
 	})
 }
 
-// play has each host ask again and again, and returns when requests were granted.
-func (f *fleet) play() []time.Duration {
-	ctx, cancel := context.WithTimeout(context.Background(), playTime)
+// run has each host ask for grants repeatedly, and returns the sorted times of the
+// grants.
+func (f *fleet) run() []time.Duration {
+	ctx, cancel := context.WithTimeout(context.Background(), runTime)
 	defer cancel()
 	var all sync.WaitGroup
 	for _, h := range f.hosts {
 		all.Go(func() {
-			for pause.For(ctx, time.Duration(rand.Float64()*2*float64(len(f.hosts))*float64(callerPause))) == nil {
+			for pause.For(ctx, time.Duration(rand.Float64()*2*float64(len(f.hosts))*float64(requestInterval))) == nil {
 				f.mu.Lock()
 				down := f.down(h, f.now())
 				f.mu.Unlock()
 				if down {
 					continue
 				}
-				ok, wait := h.keeper.Take(ctx, f.server)
+				ok, wait := h.coordinator.Take(ctx, f.server)
 				if !ok {
-					_ = pause.For(ctx, wait) // ctx is looked at above
+					_ = pause.For(ctx, wait) // the loop checks ctx
 					continue
 				}
 				f.mu.Lock()
-				if !f.away(h, f.now()) {
+				if !f.serverUnreachable(h, f.now()) {
 					f.granted = append(f.granted, f.now())
 				}
 				f.mu.Unlock()
@@ -138,13 +142,13 @@
 		})
 	}
 	all.Wait()
-	f.carried.Wait()
+	f.inFlight.Wait()
 	slices.Sort(f.granted)
 	return f.granted
 }
 
-// most returns the most that was granted in any window.
-func most(granted []time.Duration) int {
+// maxPerWindow returns the highest number of grants in any window.
+func maxPerWindow(granted []time.Duration) int {
 	n := 0
 	for i, begin := range granted {
 		end, _ := slices.BinarySearch(granted, begin+window)
@@ -153,9 +157,10 @@
 	return n
 }
 
-// TestHostsKeepALimitTogether plays what befalls the host that holds a server's bucket.
-func TestHostsKeepALimitTogether(t *testing.T) {
-	first := func(f *fleet) *host {
+// TestHostsStayWithinTheLimitTogether simulates faults of the network and of the host
+// that holds the server's bucket.
+func TestHostsStayWithinTheLimitTogether(t *testing.T) {
+	findHolder := func(f *fleet) *host {
 		var hosts []grant.Host
 		for _, h := range f.hosts {
 			hosts = append(hosts, grant.Host{Name: h.Name, Hall: h.Hall})
@@ -163,33 +168,33 @@
 		name := grant.RankHolders("i-1", "hall-0", hosts)[0]
 		return f.hosts[slices.IndexFunc(f.hosts, func(h *host) bool { return h.Name == name })]
 	}
-	during := func(now time.Duration) bool { return now >= faultAt && now < faultEnd }
+	during := func(now time.Duration) bool { return now >= faultStart && now < faultEnd }
 	for name, tc := range map[string]struct {
-		befalls func(f *fleet)
+		inject func(f *fleet)
 	}{
-		"nothing":                          {func(*fleet) {}},
+		"no fault":                         {func(*fleet) {}},
 		"a tenth of the datagrams is lost": {func(f *fleet) { f.loss = 0.1 }},
 		"the holder dies": {func(f *fleet) {
-			holder := first(f)
-			f.down = func(h *host, now time.Duration) bool { return h == holder && now >= faultAt }
+			holder := findHolder(f)
+			f.down = func(h *host, now time.Duration) bool { return h == holder && now >= faultStart }
 		}},
 		"the holder is frozen": {func(f *fleet) {
-			holder := first(f)
+			holder := findHolder(f)
 			f.down = func(h *host, now time.Duration) bool { return h == holder && during(now) }
 		}},
 		"the server's hall is cut off": {func(f *fleet) {
-			f.cut = func(a, b *host, now time.Duration) bool {
+			f.partitioned = func(a, b *host, now time.Duration) bool {
 				return during(now) && (a.Hall == "hall-0") != (b.Hall == "hall-0")
 			}
-			f.away = func(h *host, now time.Duration) bool { return during(now) && h.Hall != "hall-0" }
+			f.serverUnreachable = func(h *host, now time.Duration) bool { return during(now) && h.Hall != "hall-0" }
 		}},
-		"half of the hosts learn 2 s later of one that holds": {func(f *fleet) {
-			holder := first(f)
-			f.down = func(h *host, now time.Duration) bool { return h == holder && now < faultAt }
+		"half of the hosts learn of the holder 2 s later": {func(f *fleet) {
+			holder := findHolder(f)
+			f.down = func(h *host, now time.Duration) bool { return h == holder && now < faultStart }
 			for n, h := range f.hosts {
 				all := f.others(h)
-				h.keeper.SetHosts(slices.DeleteFunc(slices.Clone(all), func(o Host) bool { return o == holder.Host }))
-				time.AfterFunc(faultAt+time.Duration(n%2)*2*time.Second, func() { h.keeper.SetHosts(all) })
+				h.coordinator.SetHosts(slices.DeleteFunc(slices.Clone(all), func(o Host) bool { return o == holder.Host }))
+				time.AfterFunc(faultStart+time.Duration(n%2)*2*time.Second, func() { h.coordinator.SetHosts(all) })
 			}
 		}},
 	} {
@@ -199,13 +204,13 @@
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
 						f := newFleet(hosts, limit)
-						tc.befalls(f)
-						granted := f.play()
-						if allowed := int(1.5*limit*window.Seconds()) + 5; most(granted) > allowed {
-							t.Errorf("%d granted in %v, allowed %d", most(granted), window, allowed)
+						tc.inject(f)
+						granted := f.run()
+						if allowed := int(1.5*limit*window.Seconds()) + 5; maxPerWindow(granted) > allowed {
+							t.Errorf("%d granted within %v, allowed %d", maxPerWindow(granted), window, allowed)
 						}
-						if least := int(used * limit * playTime.Seconds()); len(granted) < least {
-							t.Errorf("%d granted in %v, want %d at least", len(granted), playTime, least)
+						if minimum := int(minUtilization * limit * runTime.Seconds()); len(granted) < minimum {
+							t.Errorf("%d granted in %v, want at least %d", len(granted), runTime, minimum)
 						}
 					})
 				})
