--- a/daemon/decision/close_test.go
+++ b/daemon/decision/close_test.go
@@ -9,20 +9,20 @@
 	"slipcrank.example/daemon/event"
 )
 
-// TestWritesMayOutlastTheLog has others write while the log is closed, as what a host
-// still waits for does at its stop.
-func TestWritesMayOutlastTheLog(t *testing.T) {
+// TestWriteDuringClose has goroutines write while the log is closed, as do the background
+// tasks of a daemon that is stopping. Write must neither panic nor block.
+func TestWriteDuringClose(t *testing.T) {
 	for range 50 {
 		l := decision.New(io.Discard)
-		var all sync.WaitGroup
+		var writers sync.WaitGroup
 		for range 4 {
-			all.Go(func() {
+			writers.Go(func() {
 				for range 50 {
 					l.Write(event.DaemonReady)
 				}
 			})
 		}
 		l.Close()
-		all.Wait()
+		writers.Wait()
 	}
 }
--- a/daemon/decision/decision.go
+++ b/daemon/decision/decision.go
@@ -1,9 +1,9 @@
-// Package decision writes one line of JSON to standard output for each
-// decision that touches a request or changes what the daemon believes.
+// Package decision is a structured log with one line of JSON for each decision
+// that affects a request or changes the daemon's view of the fleet.
 //
-// Writers never wait: lines go through a bounded queue, and what finds it
-// full, or is over the rate, is dropped and counted. The count is written
-// with the next line that passes.
+// Writing never blocks. Lines are written by a goroutine from a bounded queue. Lines
+// above the rate limit, and those that find the queue full, are dropped and counted,
+// and the next line that is written contains the count.
 //
 // # Usage
 //
@@ -26,30 +26,31 @@
 )
 
 const (
-	// queue holds a second's lines at the rate.
-	queue = 512
-	// lines a second, and in a burst, bound the volume: three lines for each
-	// of 130 requests a second, a few times what one host gets.
-	lines, burst = 400, 800
+	// queueLines is enough for a second at linesPerSecond.
+	queueLines = 512
+	// linesPerSecond and burstLines bound the volume: three lines for each of 130
+	// requests per second, several times the load of one host.
+	linesPerSecond, burstLines = 400, 800
 )
 
-// Log writes lines. It is safe for use by many goroutines.
+// Log is a log of decisions. It is safe for concurrent use.
 type Log struct {
 	handler slog.Handler
 	records chan slog.Record
 	limiter *rate.Limiter
 	dropped atomic.Int64
-	closing chan struct{} // closed by Close; records never is, since others may write
+	closing chan struct{} // closed by Close; records stays open, since Write may be called concurrently
 	done    chan struct{}
 	once    sync.Once
 }
 
-// New returns a log that writes to w until it is closed.
+// New returns a log that writes to w until it is closed, and adds the attributes to
+// each line.
 func New(w io.Writer, attrs ...slog.Attr) *Log {
 	l := &Log{
 		handler: slog.NewJSONHandler(w, nil).WithAttrs(attrs),
-		records: make(chan slog.Record, queue),
-		limiter: rate.NewLimiter(lines, burst),
+		records: make(chan slog.Record, queueLines),
+		limiter: rate.NewLimiter(linesPerSecond, burstLines),
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
@@ -57,7 +58,8 @@
 	return l
 }
 
-// Write queues a line.
+// Write queues a line with an event and its attributes, or drops it if the queue is full
+// or the rate exceeded.
 func (l *Log) Write(e event.Event, attrs ...slog.Attr) {
 	if !l.limiter.Allow() {
 		l.dropped.Add(1)
@@ -73,15 +75,16 @@
 	}
 }
 
-// Dropped returns how many lines were dropped and not yet reported.
+// Dropped returns the number of dropped lines that no written line has reported yet.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
-// Close writes what is queued and ends the log. Lines written later are lost.
+// Close writes the queued lines and stops the log. Lines that are queued later are lost.
 func (l *Log) Close() {
 	l.once.Do(func() { close(l.closing) })
 	<-l.done
 }
 
+// run writes lines from the queue until the log is closed.
 func (l *Log) run() {
 	defer close(l.done)
 	for {
@@ -95,7 +98,7 @@
 	}
 }
 
-// drain writes what is queued.
+// drain writes the queued lines.
 func (l *Log) drain() {
 	for {
 		select {
@@ -107,11 +110,12 @@
 	}
 }
 
+// handle writes a line, with the number of lines that were dropped before it.
 func (l *Log) handle(r slog.Record) {
 	if n := l.dropped.Swap(0); n > 0 {
 		r.AddAttrs(slog.Int64("dropped_before", n))
 	}
 	if err := l.handler.Handle(context.Background(), r); err != nil {
-		l.dropped.Add(1) // standard output is gone; there is nowhere to say so
+		l.dropped.Add(1) // the output has failed, so the error can't be reported
 	}
 }
