--- a/daemon/calls/calls.go
+++ b/daemon/calls/calls.go
@@ -1,6 +1,6 @@
-// Package calls sends calls to plain services, which stand beside the model
-// engines. Calls that may be repeated are tried on other hosts under the
-// workspace's retry budget. The others run at most once, by the caller's key.
+// Package calls sends calls to plain services, those that aren't model engines.
+// Repeatable calls are retried on other hosts within the workspace's retry budget.
+// All others run at most once per idempotency key.
 //
 // # Usage
 //
@@ -29,8 +29,8 @@
 const (
 	headerKey      = "Idempotency-Key"
 	headerDeadline = "X-Deadline-Ms"
-	// retryPause is the longest pause before a call is tried again.
-	retryPause = 50 * time.Millisecond
+	// maxRetryPause bounds the random pause before a retry.
+	maxRetryPause = 50 * time.Millisecond
 )
 
 type (
@@ -42,14 +42,14 @@
 		Repeatable  bool
 		Key         string
 		ContentType string
-		Body        []byte // it lives until Run returns
+		Body        []byte // must not change until Run returns
 		Deadline    time.Time
-		// OldSite says that the call goes to the old site. A key is claimed
-		// in the same row wherever it goes.
+		// OldSite sends the call to the old site. The claim of a key is stored in
+		// the same row for both sites.
 		OldSite bool
 	}
 
-	// Client sends calls. It is safe for use by many goroutines.
+	// Client sends calls. It is safe for concurrent use.
 	Client struct {
 		loop     *control.Loop
 		web      *web.Client
@@ -58,73 +58,74 @@
 		attempts int
 	}
 
-	// Option changes a caller under construction.
+	// Option configures a Client.
 	Option func(*Client)
 )
 
-// WithBudgets sets the retry budgets.
+// WithBudgets sets the retry budgets of the workspaces.
 func WithBudgets(b *limit.RetryBudgets) Option { return func(c *Client) { c.budgets = b } }
 
-// WithAttempts bounds the attempts at one call.
+// WithAttempts sets the maximum number of attempts at a repeatable call.
 func WithAttempts(n int) Option { return func(c *Client) { c.attempts = n } }
 
-// New returns a caller.
+// New returns a Client.
 func New(l *control.Loop, w *web.Client, o *Once, os ...Option) *Client {
-	const defaultPart, defaultAttempts = 0.1, 3
-	c := &Client{loop: l, web: w, once: o, budgets: limit.NewRetryBudgets(defaultPart), attempts: defaultAttempts}
+	const defaultRetryShare, defaultAttempts = 0.1, 3
+	c := &Client{loop: l, web: w, once: o, budgets: limit.NewRetryBudgets(defaultRetryShare), attempts: defaultAttempts}
 	for _, o := range os {
 		o(c)
 	}
 	return c
 }
 
-// Run sends a call and returns the service's answer, whatever its status.
-func (c *Client) Run(ctx context.Context, x Call) (claim.Answer, error) {
-	ctx, cancel := context.WithDeadline(ctx, x.Deadline)
+// Run sends a call and returns the service's answer, whatever its HTTP status.
+func (c *Client) Run(ctx context.Context, call Call) (claim.Answer, error) {
+	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
-	c.budgets.Earn(x.Workspace)
-	if x.Repeatable {
-		return c.repeat(ctx, x)
+	c.budgets.Earn(call.Workspace)
+	if call.Repeatable {
+		return c.sendRepeatable(ctx, call)
 	}
-	return c.once.Run(ctx, x.Workspace, x.Key, func(ctx context.Context) (claim.Answer, error) {
-		return c.sendOnce(ctx, x)
+	return c.once.Run(ctx, call.Workspace, call.Key, func(ctx context.Context) (claim.Answer, error) {
+		return c.sendOnce(ctx, call)
 	})
 }
 
-// repeat tries hosts until one answers.
-func (c *Client) repeat(ctx context.Context, x Call) (claim.Answer, error) {
-	hs := c.hosts(x)
+// sendRepeatable sends a call to one host after the other until one answers.
+func (c *Client) sendRepeatable(ctx context.Context, call Call) (claim.Answer, error) {
+	hs := c.hosts(call)
 	if len(hs) == 0 {
-		return claim.Answer{}, noHost(x.Service)
+		return claim.Answer{}, noHost(call.Service)
 	}
 	for n := 0; ; n++ {
-		a, err := c.send(ctx, hs[n%len(hs)], x)
+		a, err := c.send(ctx, hs[n%len(hs)], call)
 		switch {
 		case err == nil:
 			return a, nil
 		case deadline.Passed(ctx) != nil:
 			return claim.Answer{}, fault.New(fault.DeadlineExpired, "the service did not answer in time",
 				"ask again with more time").WithRetryAfter(time.Second).WithCause(err)
-		case n+1 >= c.attempts || !c.budgets.Spend(x.Workspace):
+		case n+1 >= c.attempts || !c.budgets.Spend(call.Workspace):
 			return claim.Answer{}, fault.New(fault.EngineFailed, "the service failed", "ask again").
 				WithRetryAfter(time.Second).WithCause(err)
 		}
-		_ = pause.UpTo(ctx, retryPause)
+		_ = pause.UpTo(ctx, maxRetryPause)
 	}
 }
 
-// sendOnce sends to the first host to which a connection can be opened.
-func (c *Client) sendOnce(ctx context.Context, x Call) (claim.Answer, error) {
-	hs := c.hosts(x)
+// sendOnce sends a call to the first host to which a connection can be opened. It tries
+// the next host only if nothing was sent to the previous one.
+func (c *Client) sendOnce(ctx context.Context, call Call) (claim.Answer, error) {
+	hs := c.hosts(call)
 	if len(hs) == 0 {
-		return claim.Answer{}, errors.Mark(noHost(x.Service), ErrNotSent)
+		return claim.Answer{}, errors.Mark(noHost(call.Service), ErrNotSent)
 	}
 	var last error
 	for _, h := range hs {
 		if err := deadline.Passed(ctx); err != nil {
 			return claim.Answer{}, errors.Mark(err, ErrNotSent)
 		}
-		a, err := c.send(ctx, h, x)
+		a, err := c.send(ctx, h, call)
 		if err == nil || !web.NotSent(err) {
 			return a, err
 		}
@@ -133,30 +134,31 @@
 	return claim.Answer{}, errors.Mark(last, ErrNotSent)
 }
 
-// hosts returns where a call may go.
-func (c *Client) hosts(x Call) []hosts.Host {
-	if x.OldSite {
+// hosts returns the hosts to which a call may be sent.
+func (c *Client) hosts(call Call) []hosts.Host {
+	if call.OldSite {
 		return c.loop.View().OldSite()
 	}
-	return c.loop.View().Hosts(x.Service)
+	return c.loop.View().Hosts(call.Service)
 }
 
-func (c *Client) send(ctx context.Context, h hosts.Host, x Call) (claim.Answer, error) {
+// send sends a call to a host.
+func (c *Client) send(ctx context.Context, h hosts.Host, call Call) (claim.Answer, error) {
 	r, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(r)
 	defer fasthttp.ReleaseResponse(a)
 	r.Header.SetMethod(fasthttp.MethodPost)
-	r.SetRequestURI("http://" + h.Addr + x.Path)
-	r.Header.SetContentType(x.ContentType)
-	r.Header.Set(headerKey, x.Key)
-	r.Header.Set(headerDeadline, strconv.FormatInt(time.Until(x.Deadline).Milliseconds(), 10))
-	r.SetBodyRaw(x.Body)
+	r.SetRequestURI("http://" + h.Addr + call.Path)
+	r.Header.SetContentType(call.ContentType)
+	r.Header.Set(headerKey, call.Key)
+	r.Header.Set(headerDeadline, strconv.FormatInt(time.Until(call.Deadline).Milliseconds(), 10))
+	r.SetBodyRaw(call.Body)
 	if err := c.web.Do(ctx, r, a); err != nil {
-		return claim.Answer{}, errors.Wrapf(err, "call %s", x.Service)
+		return claim.Answer{}, errors.Wrapf(err, "call %s", call.Service)
 	}
 	b, err := web.ReadBody(a)
 	if err != nil {
-		return claim.Answer{}, errors.Wrapf(err, "read answer of %s", x.Service)
+		return claim.Answer{}, errors.Wrapf(err, "read answer of %s", call.Service)
 	}
 	return claim.Answer{Status: a.StatusCode(), ContentType: string(a.Header.ContentType()), Body: b}, nil
 }
--- a/daemon/calls/once.go
+++ b/daemon/calls/once.go
@@ -15,43 +15,47 @@
 )
 
 const (
-	// recordTime bounds the wait for a row to be written once the call is
-	// over: the answer must not wait long for it.
-	recordTime = 2 * time.Second
-	// firstLook and lastLook bound the pauses between two looks at a call
-	// that another request has sent.
-	firstLook = 50 * time.Millisecond
-	lastLook  = time.Second
-	// persistTime bounds the tries to tidy a claim up.
-	persistTime = 30 * time.Second
+	// recordTimeout bounds the time to store the outcome of a call, which delays
+	// the answer.
+	recordTimeout = 2 * time.Second
+	// minPollPause and maxPollPause bound the pause, which doubles each time,
+	// between two reads of a claim, and between two attempts to update one in the
+	// background.
+	minPollPause = 50 * time.Millisecond
+	maxPollPause = time.Second
+	// updateTimeout bounds the attempts to update a claim in the background.
+	updateTimeout = 30 * time.Second
 )
 
 type (
-	// Once runs calls at most once, by their keys.
+	// Once runs calls at most once per idempotency key. It is safe for concurrent
+	// use.
 	Once struct {
 		register   *claim.Register
 		metrics    *telemetry.Metrics
 		background func(func())
 	}
 
-	// Send sends a call. An error marked with [ErrNotSent] means that nothing
-	// of it can have reached the service; after any other error the outcome
-	// is unknown.
+	// Send sends a call. An error marked with [ErrNotSent] means that no part of
+	// the call can have reached the service. After any other error the outcome is
+	// unknown.
 	Send func(ctx context.Context) (claim.Answer, error)
 )
 
-// ErrNotSent marks an error after which the call has certainly not run.
+// ErrNotSent marks an error that guarantees that the call has not run.
 var ErrNotSent = errors.New("nothing was sent")
 
-// NewOnce returns a runner of calls over a register of claims. Background runs
-// what no caller waits for.
+// NewOnce returns a Once that stores claims in r. It passes functions that update claims,
+// for which no caller waits, to background.
 func NewOnce(r *claim.Register, m *telemetry.Metrics, background func(func())) *Once {
 	return &Once{register: r, metrics: m, background: background}
 }
 
-// Run runs a call if no other request with the key ever did, and returns its
-// answer, or the stored answer of the request that did. The faults not_run,
-// undecided and outcome_unknown say what is known otherwise.
+// Run runs a call unless another request with the same key has run it, and returns its
+// answer or the stored answer of that request. Otherwise the fault tells what is known:
+// not_run (the call has not run, and never will under this key), undecided (this request
+// sent nothing, but the store has not confirmed that) or outcome_unknown (the call may
+// have run).
 func (o *Once) Run(ctx context.Context, workspace, key string, send Send) (claim.Answer, error) {
 	c, err := o.register.Begin(ctx, workspace, key)
 	if err != nil {
@@ -63,10 +67,10 @@
 		return claim.Answer{}, err
 	}
 	if !c.Mine() {
-		return o.follow(ctx, workspace, key, c, send)
+		return o.awaitOther(ctx, workspace, key, c, send)
 	}
-	if err := deadline.Passed(ctx); err != nil { // a daemon that was paused must not send late
-		return claim.Answer{}, o.void(ctx, c, err)
+	if err := deadline.Passed(ctx); err != nil { // a process that was paused in Begin must not send late
+		return claim.Answer{}, o.recordNotRun(ctx, c, err)
 	}
 	a, err := send(ctx)
 	if err == nil {
@@ -74,18 +78,18 @@
 		return a, nil
 	}
 	if errors.Is(err, ErrNotSent) {
-		return claim.Answer{}, o.void(ctx, c, err)
+		return claim.Answer{}, o.recordNotRun(ctx, c, err)
 	}
 	o.metrics.Count("claims_total", 1, "result", "unknown")
 	event.ClaimUnknown.Warn("workspace", workspace, "key", key, "cause", err)
-	o.background(func() { lose(c) })
-	return claim.Answer{}, unknown(err)
+	o.background(func() { markLost(c) })
+	return claim.Answer{}, outcomeUnknown(err)
 }
 
-// store records the answer. If that fails the caller still gets it; only a
-// repeat will not.
+// store stores the answer. If that fails, the caller still gets the answer, but later
+// requests with the same key don't.
 func (o *Once) store(ctx context.Context, c claim.Claim, a claim.Answer) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	o.metrics.Count("claims_total", 1, "result", "done")
 	if err := c.Done(ctx, a); err != nil {
@@ -93,10 +97,10 @@
 	}
 }
 
-// void records that the call was not run, and returns the fault that says so.
-// If it can't be recorded, the fault only says that the call is undecided.
-func (o *Once) void(ctx context.Context, c claim.Claim, cause error) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTime)
+// recordNotRun records that the call was not run, and returns the fault not_run. If that
+// fails, it returns the error, by which the call is undecided.
+func (o *Once) recordNotRun(ctx context.Context, c claim.Claim, cause error) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	if err := c.Void(ctx); err != nil {
 		o.metrics.Count("claims_total", 1, "result", "undecided")
@@ -106,11 +110,11 @@
 	return notRun().WithCause(cause)
 }
 
-// follow answers a request whose key another request has claimed. While that
-// one may still be running it looks again, within the caller's time. If that
-// one takes its claim back, the request claims the key itself.
-func (o *Once) follow(ctx context.Context, workspace, key string, c claim.Claim, send Send) (claim.Answer, error) {
-	wait := firstLook
+// awaitOther answers a request whose key another request has claimed. While that request
+// may still be running, it polls the claim until ctx ends. If that request withdraws its
+// claim, awaitOther runs the call with a claim of its own.
+func (o *Once) awaitOther(ctx context.Context, workspace, key string, c claim.Claim, send Send) (claim.Answer, error) {
+	wait := minPollPause
 	for {
 		switch c.State() {
 		case claim.Done:
@@ -119,37 +123,37 @@
 		case claim.Void:
 			return claim.Answer{}, notRun()
 		case claim.Lost:
-			return claim.Answer{}, unknown(nil)
+			return claim.Answer{}, outcomeUnknown(nil)
 		case claim.Open:
 			return o.Run(ctx, workspace, key, send)
 		}
 		if err := pause.For(ctx, wait); err != nil {
-			return claim.Answer{}, unknown(err)
+			return claim.Answer{}, outcomeUnknown(err)
 		}
-		wait = min(2*wait, lastLook)
-		if again, ok := o.register.Look(ctx, workspace, key); ok {
-			c = again
+		wait = min(2*wait, maxPollPause)
+		if current, ok := o.register.Look(ctx, workspace, key); ok {
+			c = current
 		}
 	}
 }
 
-// withdraw takes an undecided claim back, so that the key can be used again. If
-// it can't, and the claim takes effect after all, a repeat is told that the
-// outcome is unknown, which is safe.
+// withdraw withdraws an undecided claim, so that the key can be used again. If that fails
+// and the claim takes effect after all, later requests with the key get the fault
+// outcome_unknown, which is safe.
 func withdraw(c claim.Claim) {
-	persist(c.Withdraw)
+	retryUpdate(c.Withdraw)
 }
 
-// lose tells the others who ask for the key that no answer will come.
-func lose(c claim.Claim) {
-	persist(c.Lose)
+// markLost records that there will be no answer, for other requests with the key.
+func markLost(c claim.Claim) {
+	retryUpdate(c.Lose)
 }
 
-// persist tries f until it succeeds or the time for it is over.
-func persist(f func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.Background(), persistTime)
+// retryUpdate calls f until it succeeds or updateTimeout is over.
+func retryUpdate(f func(context.Context) error) {
+	ctx, cancel := context.WithTimeout(context.Background(), updateTimeout)
 	defer cancel()
-	for wait := firstLook; f(ctx) != nil; wait = min(2*wait, lastLook) {
+	for wait := minPollPause; f(ctx) != nil; wait = min(2*wait, maxPollPause) {
 		if pause.For(ctx, wait) != nil {
 			return
 		}
@@ -161,7 +165,7 @@
 		"ask again with a new Idempotency-Key").WithRetryAfter(time.Second)
 }
 
-func unknown(cause error) error {
+func outcomeUnknown(cause error) error {
 	return fault.New(fault.OutcomeUnknown, "the call was sent, and its outcome is not known",
 		"ask again with the same Idempotency-Key for what is recorded, or look at the service").
 		WithRetryAfter(time.Second).WithCause(cause)
--- a/daemon/calls/once_test.go
+++ b/daemon/calls/once_test.go
@@ -16,21 +16,22 @@
 	"slipcrank.example/daemon/telemetry"
 )
 
-// TestWhatTheCallerIsTold covers each way in which a send can end.
-func TestWhatTheCallerIsTold(t *testing.T) {
+// TestOutcomeOfEachSendResult checks the answers to a call and to its repetition for each
+// way in which sending can end.
+func TestOutcomeOfEachSendResult(t *testing.T) {
 	broken := errors.New("connection reset")
 	for name, tc := range map[string]struct {
-		pause time.Duration // of the process, while the claim is written
-		err   error         // of the send
-		sends int
-		kind  fault.Kind // "" for the answer
-		again fault.Kind // what a repeat with the same key is told
+		pause    time.Duration // of the process while the claim is written
+		err      error         // of the send
+		sends    int
+		kind     fault.Kind // "" for an answer
+		repeated fault.Kind // the same for a second request with the key
 	}{
-		"answered":               {0, nil, 1, "", ""},
-		"nothing was sent":       {0, errors.Mark(broken, calls.ErrNotSent), 1, fault.NotRun, fault.NotRun},
-		"broke off":              {0, broken, 1, fault.OutcomeUnknown, fault.OutcomeUnknown},
-		"paused past its time":   {10 * time.Second, nil, 0, fault.NotRun, fault.NotRun},
-		"paused within its time": {time.Second, nil, 1, "", ""},
+		"answered":                   {0, nil, 1, "", ""},
+		"nothing was sent":           {0, errors.Mark(broken, calls.ErrNotSent), 1, fault.NotRun, fault.NotRun},
+		"connection broke":           {0, broken, 1, fault.OutcomeUnknown, fault.OutcomeUnknown},
+		"paused past the deadline":   {10 * time.Second, nil, 0, fault.NotRun, fault.NotRun},
+		"paused within the deadline": {time.Second, nil, 1, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -44,7 +45,7 @@
 				o := calls.NewOnce(claim.New(s, claim.WithWriter(slow)), telemetry.NewMetrics(), func(f func()) { f() })
 				key := uuid.Must(uuid.NewV7()).String()
 				sends := 0
-				ask := func() error {
+				runCall := func() error {
 					ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 					defer cancel()
 					_, err := o.Run(ctx, "till", key, func(context.Context) (claim.Answer, error) {
@@ -53,8 +54,8 @@
 					})
 					return err
 				}
-				for _, want := range []fault.Kind{tc.kind, tc.again} {
-					if err := ask(); (err == nil) != (want == "") || (err != nil && !fault.Is(err, want)) {
+				for _, want := range []fault.Kind{tc.kind, tc.repeated} {
+					if err := runCall(); (err == nil) != (want == "") || (err != nil && !fault.Is(err, want)) {
 						t.Errorf("got %v, want %q", err, want)
 					}
 				}
@@ -66,16 +67,16 @@
 	}
 }
 
-// late is a context whose time is over by the clock and whose timer has not run
-// yet, as in a process that goes on after a pause.
-type late struct{ context.Context }
+// expiredContext is a context whose deadline has passed but whose timer has not fired yet,
+// as in a process that resumes after a pause.
+type expiredContext struct{ context.Context }
 
-func (late) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
+func (expiredContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
 
-func TestWokenPastTheDeadlineSendsNothing(t *testing.T) {
+func TestProcessResumedAfterTheDeadlineSendsNothing(t *testing.T) {
 	o := calls.NewOnce(claim.New(store.NewMemory().Store()), telemetry.NewMetrics(), func(f func()) { f() })
-	_, err := o.Run(late{context.Background()}, "till", uuid.Must(uuid.NewV7()).String(), func(context.Context) (claim.Answer, error) {
-		t.Error("the call was sent after its time")
+	_, err := o.Run(expiredContext{context.Background()}, "till", uuid.Must(uuid.NewV7()).String(), func(context.Context) (claim.Answer, error) {
+		t.Error("the call was sent after its deadline")
 		return claim.Answer{Status: 200}, nil
 	})
 	if !fault.Is(err, fault.NotRun) {
