--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -53,9 +53,10 @@
 	// those of 30 other clients.
 	firstMessageTimeout = 10 * time.Second
 	// connectTimeout bounds an attempt to open a connection. During a network
-	// partition the kernel retransmits the SYN at growing intervals, so an
-	// attempt that began in the partition may last up to as long after its end
-	// as it has lasted, while a new attempt succeeds at once.
+	// partition the kernel retransmits the SYN at doubling intervals. An attempt
+	// that began in the partition may therefore succeed only after the time that
+	// the partition lasted has passed once more since its end, whereas a new
+	// attempt succeeds at once.
 	connectTimeout = time.Second
 	// retryPause is the pause between two attempts to reach a server.
 	retryPause = 500 * time.Millisecond
