--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -89,7 +89,7 @@
 		// notices are what servers have said of themselves.
 		notices *notice.Registry
 		// grants hands out the requests that limited servers take from all hosts.
-		grants *grants.Keeper
+		grants *grants.Coordinator
 		// changed wakes who stores suspects, and known who routes news, since other hosts
 		// have changed.
 		changed  chan struct{}
@@ -146,7 +146,7 @@
 	e.gateway = gateway.New(p.Dialect, e.state, e.pool, e.board, budget, e.log, e.metrics,
 		gateway.WithHall(s.Hall),
 		gateway.WithClock(e.clock),
-		gateway.WithMemory(memory.New(p.Orders, e.log, memory.WithGate(e.takesOrder))),
+		gateway.WithMemory(memory.New(p.Orders, e.log, memory.WithLimiter(e.takesOrder))),
 		gateway.WithFreshness(gateway.Freshness{KeysTrusted: e.keysTrusted, ConfigCurrent: e.configCurrent, ConfigAge: e.proofAge, ServersAge: e.serversAge}),
 		gateway.WithPlacementHooks(n.Placed, n.Started, n.Ended),
 		gateway.WithQuarantine(e.quarantine, e.suspectsChanged),
@@ -160,7 +160,7 @@
 	)
 	n.OnSuspects(e.hearSuspects)
 	n.OnNotices(news.Notices{
-		Ask: e.grants.Answer, Reply: e.grants.Answered, Limit: e.hearLimit, Leaves: e.hearLeaving,
+		Ask: e.grants.HandleRequest, Reply: e.grants.HandleReply, Limit: e.hearLimit, Leaves: e.hearLeaving,
 		Placed: e.gateway.ReceivePlacement,
 	})
 	return e, nil
@@ -295,7 +295,7 @@
 			if n++; n%sweepEvery == 0 {
 				servers := e.watcher.State().Servers
 				e.pool.Sweep(servers.HasAddr)
-				e.grants.Keep(func(server string) bool { _, ok := servers.Get(server); return ok })
+				e.grants.Retain(func(server string) bool { _, ok := servers.Get(server); return ok })
 			}
 		}
 	}
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -80,7 +80,7 @@
 		clock              *boottime.Clock
 		drain              atomic.Pointer[drain]
 		active             atomic.Int64
-		memory             *memory.Keeper // nil: no memory can be reserved
+		memory             *memory.Reserver // nil: no memory can be reserved
 		shareRefusals      *shareRefusals
 		exchanges          *exchanges
 		quarantine         *quarantine.Registry
@@ -160,7 +160,7 @@
 func WithClock(c *boottime.Clock) Option { return func(g *Gateway) { g.clock = c } }
 
 // WithMemory sets what reserves memory on backend servers.
-func WithMemory(k *memory.Keeper) Option { return func(g *Gateway) { g.memory = k } }
+func WithMemory(k *memory.Reserver) Option { return func(g *Gateway) { g.memory = k } }
 
 // New returns a gateway that places requests with board, sends them through pool, and
 // limits retries by budget.
--- a/daemon/gateway/request.go
+++ b/daemon/gateway/request.go
@@ -50,7 +50,7 @@
 		ID:       c.id,
 
 		NewConnection: c.freshConn,
-		Allowed:       func() error { return g.checkBeforeSend(c, p) },
+		BeforeSend:    func() error { return g.checkBeforeSend(c, p) },
 	}
 }
 
--- a/daemon/gateway/shares.go
+++ b/daemon/gateway/shares.go
@@ -86,6 +86,6 @@
 	g.updateSuspects(g.clock.Now())
 	g.pruneNotices(g.clock.Now())
 	for _, s := range g.exchanges.cancelStale(g.state().Servers.Replaced, g.clock.Now()) {
-		g.pool.Drop(s.Addr) // connections to the replaced instance
+		g.pool.CloseIdle(s.Addr) // connections to the replaced instance
 	}
 }
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -135,7 +135,7 @@
 }
 
 // portClosed reports whether a server's port refuses connections.
-func (g *Gateway) portClosed(s backend.Server) bool { return upstream.Closed(g.probe(s)) }
+func (g *Gateway) portClosed(s backend.Server) bool { return upstream.PortClosed(g.probe(s)) }
 
 // probe returns nil if a server accepts connections. Concurrent probes of one server
 // share a single connection attempt.
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -143,16 +143,16 @@
 }
 
 // reserveMemory reserves memory on the helpers that need to store parts of the prompt.
-func (g *Gateway) reserveMemory(ctx context.Context, s State, p schedule.Placement) (*memory.Hold, error) {
+func (g *Gateway) reserveMemory(ctx context.Context, s State, p schedule.Placement) (*memory.Reservation, error) {
 	if len(p.MemoryShares) == 0 || g.memory == nil {
 		return nil, nil
 	}
-	parts := make([]memory.Part, 0, len(p.MemoryShares))
+	parts := make([]memory.Share, 0, len(p.MemoryShares))
 	for _, share := range p.MemoryShares {
 		b, _ := s.Servers.Get(share.Server)
-		parts = append(parts, memory.Part{Addr: b.Addr, Tokens: share.Tokens})
+		parts = append(parts, memory.Share{Addr: b.Addr, Tokens: share.Tokens})
 	}
-	return g.memory.Hold(ctx, reservationID(p.ID), parts)
+	return g.memory.Reserve(ctx, reservationID(p.ID), parts)
 }
 
 // reservationID returns the ID of a placement's memory reservations.
@@ -228,7 +228,7 @@
 	if out.result == failed && errors.Is(context.Cause(ctx), errServerSilent) {
 		out.reason, out.connBroken = "server_silent", false
 		c.freshConn = true
-		g.pool.Drop(server.Addr)
+		g.pool.CloseIdle(server.Addr)
 	}
 	return out
 }
