--- a/daemon/callers/complete.go
+++ b/daemon/callers/complete.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return false, err
 	}
-	d.Resume = from
+	d.ResumeOffset = from
 	a, err := s.start(r, d, chat)
 	if err != nil {
 		return false, err
--- a/daemon/callers/server.go
+++ b/daemon/callers/server.go
@@ -133,8 +133,8 @@
 	return s.http.ShutdownWithContext(ctx)
 }
 
-// Open returns the number of requests in progress.
-func (s *Server) Open() int64 { return s.open.Load() }
+// InProgress returns the number of requests in progress.
+func (s *Server) InProgress() int64 { return s.open.Load() }
 
 // Unready makes the readiness check fail, so that the balancer sends no more.
 // Requests that still come are served.
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -46,17 +46,17 @@
 type (
 	// Request is an admitted generation request.
 	Request struct {
-		ID        string
-		Workspace template.Template
-		Model     template.Model
-		Path      string
-		Body      []byte // the caller's JSON; it lives until Run returns
-		Tokens    int
-		MaxTokens int
-		Chain     []uint64
-		Resume    int // offset of the first token that the caller wants
-		Arrival   time.Time
-		Deadline  time.Time
+		ID           string
+		Workspace    template.Template
+		Model        template.Model
+		Path         string
+		Body         []byte // the caller's JSON; it lives until Run returns
+		Tokens       int
+		MaxTokens    int
+		Chain        []uint64
+		ResumeOffset int // offset of the first token that the caller wants
+		Arrival      time.Time
+		Deadline     time.Time
 	}
 
 	// Outcome tells how a request went.
@@ -146,7 +146,7 @@
 func (d *Dispatcher) Run(ctx context.Context, r Request, emit func(engine.Piece) error) (Outcome, error) {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	x := &run{Dispatcher: d, request: r, emit: emit, excluded: map[string]bool{}, prompt: promptOf(r), offset: r.Resume}
+	x := &run{Dispatcher: d, request: r, emit: emit, excluded: map[string]bool{}, prompt: promptOf(r), offset: r.ResumeOffset}
 	x.record = Record{
 		ID: r.ID, Workspace: r.Workspace.Workspace, Model: r.Model.Name,
 		Tokens: r.Tokens, Arrival: r.Arrival,
@@ -231,7 +231,7 @@
 	if errors.Is(err, engine.ErrNotSent) {
 		return true
 	}
-	if begun := x.offset > x.request.Resume; begun && !x.resumed {
+	if begun := x.offset > x.request.ResumeOffset; begun && !x.resumed {
 		x.resumed = true
 		return true
 	}
--- a/daemon/dispatch/suspects.go
+++ b/daemon/dispatch/suspects.go
@@ -50,8 +50,8 @@
 	}
 )
 
-// WithSuspects sets who tells other daemons of requests under which engines ended.
-func WithSuspects(tell func([]quarantine.Record)) Option {
+// WithSuspectSender sets who tells other daemons of requests under which engines ended.
+func WithSuspectSender(tell func([]quarantine.Record)) Option {
 	return func(d *Dispatcher) { d.suspects.tell = tell }
 }
 
@@ -64,9 +64,9 @@
 	}
 }
 
-// HearSuspects takes in what another daemon knows of requests under which engines
+// MergeSuspects takes in what another daemon knows of requests under which engines
 // ended.
-func (d *Dispatcher) HearSuspects(rs []quarantine.Record) {
+func (d *Dispatcher) MergeSuspects(rs []quarantine.Record) {
 	for _, r := range rs {
 		if err := r.Validate(); err != nil {
 			event.SuspectUnusable.Warn("error", err)
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -135,7 +135,7 @@
 	n.client = peers.NewClient(peers.WithClientTLS(security), peers.WithReach(n.reach))
 	n.batcher = claim.NewBatcher(platform)
 	n.server = peers.NewServer(n.loop, n.client, peers.WithBatcher(n.batcher.Write), peers.WithServerTLS(security),
-		peers.WithSuspects(func(rs []quarantine.Record) { n.dispatcher.HearSuspects(rs) }))
+		peers.WithSuspects(func(rs []quarantine.Record) { n.dispatcher.MergeSuspects(rs) }))
 	n.lease = lease.New(platform, "control/"+s.Hall, leaseName(self), lease.WithLength(s.Periods.Lease), lease.WithNow(boottime.Time))
 	n.upkeep = upkeep.New(n.loop, n.client,
 		upkeep.WithEngines(polled),
@@ -148,7 +148,7 @@
 	)
 	once := calls.NewOnce(claim.New(platform, claim.WithWriter(n.claimWriter())), metrics, n.background)
 	n.dispatcher = dispatch.New(n.loop, n.client, engine.New(n.streams),
-		dispatch.WithSuspects(n.tellSuspects),
+		dispatch.WithSuspectSender(n.tellSuspects),
 		dispatch.WithBudgets(budgets), dispatch.WithMetrics(metrics), dispatch.WithRing(ring),
 		dispatch.WithBackground(n.background), dispatch.WithAttempts(s.Limits.MaxAttempts))
 	c := calls.New(n.loop, n.traffic, once, calls.WithBudgets(budgets), calls.WithAttempts(s.Limits.MaxAttempts))
--- a/daemon/node/stop.go
+++ b/daemon/node/stop.go
@@ -27,7 +27,7 @@
 // goes on serving while the balancer notices; then it refuses new requests,
 // hands over its duties, and lets those in progress run to their end.
 func (n *Node) Stop(ctx context.Context) error {
-	event.DaemonDraining.Info("in_progress", n.callers.Open())
+	event.DaemonDraining.Info("in_progress", n.callers.InProgress())
 	n.callers.Unready()
 	n.loop.Do(ctx, func(s *control.State) { s.Drain() })
 	if err := n.lease.Release(ctx); err != nil {
@@ -38,7 +38,7 @@
 	err := n.drained(ctx)
 	n.Close()
 	if err != nil {
-		event.DaemonGaveUp.Error(err, "in_progress", n.callers.Open())
+		event.DaemonGaveUp.Error(err, "in_progress", n.callers.InProgress())
 		return err
 	}
 	event.DaemonStopped.Info()
@@ -49,9 +49,9 @@
 func (n *Node) drained(ctx context.Context) error {
 	limit := time.Now().Add(n.settings.Drain.Limit)
 	said := time.Time{}
-	for n.callers.Open() > 0 {
+	for n.callers.InProgress() > 0 {
 		if time.Since(said) > sayPeriod {
-			event.DaemonWaiting.Info("in_progress", n.callers.Open(), "until", limit)
+			event.DaemonWaiting.Info("in_progress", n.callers.InProgress(), "until", limit)
 			said = time.Now()
 		}
 		if ctx.Err() != nil || time.Now().After(limit) {
