--- a/daemon/dispatch/bench_test.go
+++ b/daemon/dispatch/bench_test.go
@@ -11,8 +11,8 @@
 	"slipcrank.example/daemon/control"
 )
 
-// BenchmarkDecision measures what one entry host does for one placement beside
-// its messages: finding the engines, picking owners, and choosing an offer.
+// BenchmarkDecision measures the work of one entry host for one placement, without
+// the messages: listing the engines, sampling owners and choosing an offer.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{18, 120, 600} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -38,7 +38,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				v := l.View()
-				if len(x.ownersOf(v.Home("m", "1"))) == 0 {
+				if len(x.sampleOwners(v.Home("m", "1"))) == 0 {
 					b.Fatal("no owners")
 				}
 				if _, _, ok := route.Choose(x.prompt, offers, time.Now()); !ok {
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch takes an admitted request through to its end: it places
-// the request on an engine, passes the stream on, and when an engine fails
-// resumes the stream on another, with no token missing or doubled.
+// Package dispatch runs admitted requests: it places a request on an engine, relays
+// the stream of tokens, and if an engine fails resumes the stream on another engine
+// without missing or duplicated tokens.
 //
 // # Usage
 //
@@ -32,16 +32,16 @@
 )
 
 const (
-	defaultAttempts  = 3
-	defaultRetryPart = 0.1
-	cancelTimeout    = 2 * time.Second
-	// retryPause is the longest pause before another attempt, so that the
-	// requests of an engine that died do not all ask at the same time.
-	retryPause = 50 * time.Millisecond
+	defaultMaxAttempts   = 3
+	defaultRetryFraction = 0.1
+	cancelTimeout        = 2 * time.Second
+	// maxRetryDelay bounds the random delay before another attempt, so that the
+	// requests of a failed engine are not all retried at the same time.
+	maxRetryDelay = 50 * time.Millisecond
 )
 
-// ErrCallerGone marks a request whose caller no longer reads the answer.
-var ErrCallerGone = errors.New("the caller has gone")
+// ErrCallerGone marks the error of a request whose caller no longer reads the answer.
+var ErrCallerGone = errors.New("the caller disconnected")
 
 type (
 	// Request is an admitted generation request.
@@ -50,7 +50,7 @@
 		Workspace    template.Template
 		Model        template.Model
 		Path         string
-		Body         []byte // the caller's JSON; it lives until Run returns
+		Body         []byte // the caller's JSON; must stay valid until Run returns
 		Tokens       int
 		MaxTokens    int
 		Chain        []uint64
@@ -59,7 +59,7 @@
 		Deadline     time.Time
 	}
 
-	// Outcome tells how a request went.
+	// Outcome describes how a request was served.
 	Outcome struct {
 		Engine       string
 		FirstToken   time.Duration // since the arrival
@@ -70,69 +70,71 @@
 		Attempts     int
 	}
 
-	// Dispatcher runs requests. It is safe for use by many goroutines.
+	// Dispatcher runs requests. It is safe for concurrent use.
 	Dispatcher struct {
-		loop       *control.Loop
-		peers      *peers.Client
-		engines    *engine.Client
-		budgets    *limit.RetryBudgets
-		metrics    *telemetry.Metrics
-		explain    *Ring
-		background func(func())
-		attempts   int
-		suspects   *suspects
+		loop        *control.Loop
+		peers       *peers.Client
+		engines     *engine.Client
+		budgets     *limit.RetryBudgets
+		metrics     *telemetry.Metrics
+		ring        *Ring
+		background  func(func())
+		maxAttempts int
+		suspects    *suspects
 	}
 
-	// Option changes a dispatcher under construction.
+	// Option configures a dispatcher in [New].
 	Option func(*Dispatcher)
 
 	// run is the state of one request.
 	run struct {
 		*Dispatcher
-		request  Request
-		prompt   route.Prompt
-		emit     func(engine.Piece) error
-		excluded map[string]bool
-		offset   int    // of the next token to pass on
-		holding  string // reservation that pays for the memory, if any
-		// reservations counts the tries to reserve, each of which has a name of
-		// its own.
-		reservations int
-		heldUntil    time.Time // until when it waits for more urgent groups; zero before its first choice
-		resumed      bool      // the resume that costs no budget has been used
-		outcome      Outcome
-		record       Record
-		digests      quarantine.Identity // worked out where they are needed
+		request       Request
+		prompt        route.Prompt
+		emit          func(engine.Piece) error
+		excluded      map[string]bool
+		nextOffset    int    // of the next token to relay
+		reservationID string // of the group's memory, empty if there is none
+		// reserveTries counts the tries to reserve a group. Each try has a
+		// reservation ID of its own.
+		reserveTries       int
+		waitForGroupsUntil time.Time // limit for waiting for more urgent groups; zero before the first choice
+		usedFreeResume     bool      // the resume that takes no retry from the budget was used
+		outcome            Outcome
+		record             Record
+		cachedIdentity     quarantine.Identity // computed on first use; see identity
 	}
 )
 
-// WithAttempts bounds the attempts at one request.
-func WithAttempts(n int) Option { return func(d *Dispatcher) { d.attempts = n } }
+// WithAttempts sets the maximum number of attempts at one request.
+func WithAttempts(n int) Option { return func(d *Dispatcher) { d.maxAttempts = n } }
 
 // WithBudgets sets the retry budgets.
 func WithBudgets(b *limit.RetryBudgets) Option { return func(d *Dispatcher) { d.budgets = b } }
 
-// WithMetrics sets where the dispatcher counts.
+// WithMetrics sets the metrics that the dispatcher updates.
 func WithMetrics(m *telemetry.Metrics) Option { return func(d *Dispatcher) { d.metrics = m } }
 
-// WithRing sets where decisions are kept.
-func WithRing(r *Ring) Option { return func(d *Dispatcher) { d.explain = r } }
+// WithRing sets where the dispatcher stores the records of requests.
+func WithRing(r *Ring) Option { return func(d *Dispatcher) { d.ring = r } }
 
-// WithBackground sets what runs the work that goes on beside a request.
+// WithBackground sets the function that starts background work, which may outlive its
+// request.
 func WithBackground(f func(func())) Option { return func(d *Dispatcher) { d.background = f } }
 
-// New returns a dispatcher.
+// New returns a dispatcher that reads the daemon's control state from l, and calls
+// other daemons through p and engines through e.
 func New(l *control.Loop, p *peers.Client, e *engine.Client, os ...Option) *Dispatcher {
 	d := &Dispatcher{
-		loop:       l,
-		peers:      p,
-		engines:    e,
-		budgets:    limit.NewRetryBudgets(defaultRetryPart),
-		metrics:    telemetry.NewMetrics(),
-		explain:    NewRing(),
-		background: func(f func()) { go f() },
-		attempts:   defaultAttempts,
-		suspects:   newSuspects(),
+		loop:        l,
+		peers:       p,
+		engines:     e,
+		budgets:     limit.NewRetryBudgets(defaultRetryFraction),
+		metrics:     telemetry.NewMetrics(),
+		ring:        NewRing(),
+		background:  func(f func()) { go f() },
+		maxAttempts: defaultMaxAttempts,
+		suspects:    newSuspects(),
 	}
 	for _, o := range os {
 		o(d)
@@ -140,13 +142,14 @@
 	return d
 }
 
-// Run takes a request to its end. It calls emit for each token in order, from
-// one goroutine; an error from emit means that the caller has gone, and frees
-// the engine at once. A nil error means that the whole answer was passed on.
+// Run runs a request to its end. It calls emit for each token in order, from one
+// goroutine. An error from emit means that the caller has disconnected; Run then
+// cancels the attempt, so that the engine frees its memory at once. A nil error means
+// that the complete answer was emitted.
 func (d *Dispatcher) Run(ctx context.Context, r Request, emit func(engine.Piece) error) (Outcome, error) {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	x := &run{Dispatcher: d, request: r, emit: emit, excluded: map[string]bool{}, prompt: promptOf(r), offset: r.ResumeOffset}
+	x := &run{Dispatcher: d, request: r, emit: emit, excluded: map[string]bool{}, prompt: promptOf(r), nextOffset: r.ResumeOffset}
 	x.record = Record{
 		ID: r.ID, Workspace: r.Workspace.Workspace, Model: r.Model.Name,
 		Tokens: r.Tokens, Arrival: r.Arrival,
@@ -155,12 +158,12 @@
 	d.loop.Post(func(s *control.State) {
 		s.Asked(directory.Copy{Model: r.Model.Name, Version: r.Model.Version}, x.prompt.Memory())
 	})
-	err := x.all(ctx)
+	err := x.runAttempts(ctx)
 	x.record.Outcome, x.record.FirstToken = "ok", x.outcome.FirstToken
 	if err != nil {
 		x.record.Outcome = err.Error()
 	}
-	d.explain.Add(x.record)
+	d.ring.Add(x.record)
 	return x.outcome, err
 }
 
@@ -178,42 +181,42 @@
 	}
 }
 
-// all makes attempts until one succeeds or no more are allowed.
-func (x *run) all(ctx context.Context) error {
+// runAttempts makes attempts until one succeeds or no further one is allowed.
+func (x *run) runAttempts(ctx context.Context) error {
 	for {
 		x.outcome.Attempts++
-		err := x.once(ctx)
+		err := x.runAttempt(ctx)
 		if err == nil {
 			return nil
 		}
-		if final := x.final(ctx, err); final != nil {
+		if final := x.finalError(ctx, err); final != nil {
 			return final
 		}
 		x.metrics.Count("retries_total", 1)
-		event.RequestResumed.Info("request", x.request.ID, "offset", x.offset, "cause", err)
+		event.RequestResumed.Info("request", x.request.ID, "offset", x.nextOffset, "cause", err)
 		if x.stage() != quarantine.Clear {
-			_ = pause.For(ctx, suspectPause) // all looks at ctx
+			_ = pause.For(ctx, suspectRetryDelay) // an ended ctx is noticed by the next attempt
 			continue
 		}
-		_ = pause.UpTo(ctx, retryPause)
+		_ = pause.UpTo(ctx, maxRetryDelay)
 	}
 }
 
-// final returns the error that ends the request, or nil if another attempt is
+// finalError returns the error that ends the request, or nil if another attempt is
 // allowed.
-func (x *run) final(ctx context.Context, err error) error {
+func (x *run) finalError(ctx context.Context, err error) error {
 	var f *fault.Error
 	switch {
 	case errors.Is(err, ErrCallerGone):
 		return err
 	case deadline.Passed(ctx) != nil:
-		return expired()
+		return deadlineExpired()
 	case errors.As(err, &f):
-		return err // a decision, not a failure of an engine
-	case !x.request.Repeatable() && !certainlyNotRun(err):
+		return err // a decision on the request, not a failure of an engine
+	case !x.request.Repeatable() && !notExecuted(err):
 		return fault.New(fault.OutcomeUnknown, "the engine broke off a call that may not be repeated",
 			"ask with the same Idempotency-Key for what is recorded").WithCause(err)
-	case x.outcome.Attempts >= x.attempts:
+	case x.outcome.Attempts >= x.maxAttempts:
 		return engineFailed("the engines failed every attempt at the request", err)
 	case !x.mayRetry(err):
 		return engineFailed("an engine failed, and the workspace has no retries left", err)
@@ -222,37 +225,38 @@
 	}
 }
 
-// mayRetry reports whether the request may be tried again, and takes the retry
-// out of the workspace's budget if it puts load on the engines anew. An
-// attempt that never reached its engine has put none there. And a stream that
-// had begun may be resumed once for nothing, or else the death of an engine
-// with many streams of one workspace would lose those beyond the budget.
+// mayRetry reports whether the request may be retried. It takes a retry from the
+// workspace's budget, except in two cases. An attempt that never reached its engine
+// caused no load there. And a stream that had begun may be resumed once at no charge:
+// otherwise the failure of an engine with many streams of one workspace would abort
+// the streams beyond the budget.
 func (x *run) mayRetry(err error) bool {
 	if errors.Is(err, engine.ErrNotSent) {
 		return true
 	}
-	if begun := x.offset > x.request.ResumeOffset; begun && !x.resumed {
-		x.resumed = true
+	if begun := x.nextOffset > x.request.ResumeOffset; begun && !x.usedFreeResume {
+		x.usedFreeResume = true
 		return true
 	}
 	return x.budgets.Spend(x.request.Workspace.Workspace)
 }
 
-// once makes one attempt: it places the request and passes the stream on.
-func (x *run) once(ctx context.Context) error {
+// runAttempt makes one attempt: it places the request on an engine and relays the
+// stream.
+func (x *run) runAttempt(ctx context.Context) error {
 	attempt := uuid.NewString()
-	x.awaitVerdict(ctx)
+	x.awaitConfirmation(ctx)
 	v, stage := x.loop.View(), x.stage()
-	if err := x.held(stage); err != nil {
+	if err := x.blockedError(stage); err != nil {
 		return err
 	}
-	if x.large(v) {
-		return x.largeOnce(ctx, attempt)
+	if x.needsGroup(v) {
+		return x.runGroupAttempt(ctx, attempt)
 	}
 	ctx, span := telemetry.Span(ctx, "attempt", attribute.String("request", x.request.ID))
-	place, apart := x.place, stage != quarantine.Clear
-	if apart {
-		place = x.placeApart
+	place, isolated := x.place, stage != quarantine.Clear
+	if isolated {
+		place = x.placeIsolated
 	}
 	o, err := place(ctx, attempt)
 	if err != nil {
@@ -260,37 +264,38 @@
 		return err
 	}
 	span.SetAttributes(attribute.String("engine", o.Addr))
-	if apart {
-		defer x.suspects.enter(o.Addr)()
+	if isolated {
+		defer x.suspects.trackRun(o.Addr)()
 	}
 	started := time.Now()
 	first, err := x.stream(ctx, attempt, o)
 	if first > 0 {
 		x.metrics.Time("first_token", first)
 	}
-	x.finish(attempt, o, first, failedByEngine(ctx, err))
+	x.reportFinished(attempt, o, first, failedByEngine(ctx, err))
 	x.record.Attempts[len(x.record.Attempts)-1].Took = time.Since(started)
 	if err != nil {
 		x.excluded[o.Addr] = true
-		x.inquire(v, o.Addr, apart, err)
-	} else if apart {
-		x.suspects.book.ClearAnswered(x.identity().Fingerprint, x.suspects.clock.Now())
+		x.recordCrash(v, o.Addr, isolated, err)
+	} else if isolated {
+		x.suspects.registry.ClearAnswered(x.identity().Fingerprint, x.suspects.clock.Now())
 	}
 	telemetry.End(span, err)
 	return err
 }
 
-// failedByEngine reports whether the engine, not the caller or the clock,
-// ended the attempt. A full or leaving engine has not failed.
+// failedByEngine reports whether the attempt failed because of the engine, not
+// because of the caller or the deadline. A refusal by a full or leaving engine is no
+// failure.
 func failedByEngine(ctx context.Context, err error) bool {
 	return err != nil && deadline.Passed(ctx) == nil && !errors.IsAny(err, ErrCallerGone, engine.ErrBusy, engine.ErrLeaving)
 }
 
-// finish tells the engine's owner that an attempt has ended. Nobody waits for
-// it, and if it gets lost the placement expires.
-func (x *run) finish(attempt string, o route.Offer, first time.Duration, failed bool) {
+// reportFinished reports the end of an attempt to the engine's owner, in the
+// background. If the message is lost, the placement expires at the owner.
+func (x *run) reportFinished(attempt string, o route.Offer, first time.Duration, failed bool) {
 	owner := x.loop.View().Owner(o.Addr)
-	tell := func() {
+	report := func() {
 		if owner == x.loop.View().Self.Addr {
 			x.loop.Post(func(s *control.State) { s.Finished(attempt, o.Addr, first, failed) })
 			return
@@ -299,17 +304,18 @@
 		defer cancel()
 		_ = x.peers.Finish(ctx, owner, attempt, o.Addr, first, failed)
 	}
-	x.background(tell)
+	x.background(report)
 }
 
-// Repeatable reports whether the request may run more than once.
+// Repeatable reports whether the request may be executed more than once.
 func (r Request) Repeatable() bool { return !r.Model.Unrepeatable }
 
-func certainlyNotRun(err error) bool {
+// notExecuted reports whether err proves that the engine did not execute the attempt.
+func notExecuted(err error) bool {
 	return errors.IsAny(err, engine.ErrBusy, engine.ErrLeaving, engine.ErrNotSent)
 }
 
-func expired() error {
+func deadlineExpired() error {
 	return fault.New(fault.DeadlineExpired, "the request did not end within its time",
 		"ask again with more time, or at a quieter moment").WithRetryAfter(time.Second)
 }
--- a/daemon/dispatch/large.go
+++ b/daemon/dispatch/large.go
@@ -22,22 +22,24 @@
 )
 
 const (
-	// keptFree is the part of each engine's memory, one in so many, that no
-	// group takes, so that short requests go on beside it.
-	keptFree = 10
-	// groupPause is the longest pause before another group is tried.
-	groupPause = time.Second
-	// lookAround is how many tries a waiting request makes with the engines
-	// that it waits for, before it asks all of them again.
-	lookAround = 20
-	// reportsAtOnce bounds the engines that are asked for their memory at the
-	// same time.
-	reportsAtOnce = 16
+	// groupHeadroomDivisor determines the memory of each engine that groups may not
+	// reserve, 1/groupHeadroomDivisor of the total, so that short requests can run
+	// beside a group.
+	groupHeadroomDivisor = 10
+	// maxGroupRetryDelay bounds the random delay before the next try to reserve a
+	// group.
+	maxGroupRetryDelay = time.Second
+	// triesPerPoll is the number of tries after which a waiting request polls all
+	// engines again. In between it considers only the engines that it waits for.
+	triesPerPoll = 20
+	// maxConcurrentReports bounds the load reports that one request reads
+	// concurrently.
+	maxConcurrentReports = 16
 )
 
-// large reports whether the request needs more memory than any live engine
-// with its model has.
-func (x *run) large(v *control.View) bool {
+// needsGroup reports whether the request needs more memory than any live engine with
+// its model has. It returns false if there is no such engine.
+func (x *run) needsGroup(v *control.View) bool {
 	holds := false
 	for _, e := range v.Engines {
 		if e.Status != directory.Up || !e.Holds(x.prompt.Model, x.prompt.Version) {
@@ -51,10 +53,10 @@
 	return holds
 }
 
-// halls returns the engines that are up and hold the model, hall by hall, the
-// daemon's own first. A group does not span halls: its members move KV caches
-// to each other.
-func (x *run) halls(v *control.View) [][]directory.Engine {
+// enginesByHall returns the engines that are up and hold the model, grouped by hall,
+// the daemon's own hall first. A group does not span halls, since its members
+// transfer KV caches to each other.
+func (x *run) enginesByHall(v *control.View) [][]directory.Engine {
 	byHall := map[string][]directory.Engine{}
 	for _, e := range v.Engines {
 		if e.Status == directory.Up && e.Holds(x.prompt.Model, x.prompt.Version) {
@@ -77,15 +79,15 @@
 	return out
 }
 
-// largeOnce makes one attempt at a request that needs a group of engines.
-func (x *run) largeOnce(ctx context.Context, attempt string) error {
+// runGroupAttempt makes one attempt at a request that needs a group of engines.
+func (x *run) runGroupAttempt(ctx context.Context, attempt string) error {
 	ctx, span := telemetry.Span(ctx, "group")
 	defer span.End()
-	h, err := x.hold(ctx, attempt)
+	h, err := x.reserveGroup(ctx, attempt)
 	if err != nil {
 		return err
 	}
-	defer x.free(h)
+	defer x.releaseGroup(h)
 	lead := h.members[0]
 	for _, m := range h.members {
 		if m.Tokens > lead.Tokens {
@@ -98,54 +100,55 @@
 	x.record.Attempts = append(x.record.Attempts, Attempt{Attempt: attempt, Decision: route.Decision{
 		Chosen: lead.Addr, Reason: "needs the memory of several engines",
 	}})
-	x.holding = h.id
-	defer func() { x.holding = "" }()
-	return x.runGroup(ctx, attempt, h, lead.Addr)
+	x.reservationID = h.id
+	defer func() { x.reservationID = "" }()
+	return x.runOnLead(ctx, attempt, h, lead.Addr)
 }
 
-// runGroup runs the prompt on the lead of a group, as long as all members live.
-// The lead's owner is told, or else it would take the prefill for work of others
-// that comes before everything.
-func (x *run) runGroup(ctx context.Context, attempt string, h *reservation, lead string) error {
+// runOnLead runs the prompt on the lead of a group, and cancels it if a member is
+// lost. The placement is recorded with the lead's owner; otherwise the owner would
+// count the prefill as unknown work that is ahead of every other request.
+func (x *run) runOnLead(ctx context.Context, attempt string, h *reservation, lead string) error {
 	v := x.loop.View()
 	o := route.Offer{Addr: lead, Incarnation: v.Incarnation(lead)}
-	if now, ok := x.placed(ctx, v, attempt, o, x.prompt.WithReserved()); ok {
+	if now, ok := x.recordPlacement(ctx, v, attempt, o, x.prompt.WithReserved()); ok {
 		o.FairnessDelay = now.FairnessDelay
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(h.lives, cancel)()
+	defer context.AfterFunc(h.ctx, cancel)()
 	first, err := x.stream(ctx, attempt, o)
-	var lost *lostMember
-	if err != nil && errors.As(context.Cause(h.lives), &lost) {
+	var lost *lostMemberError
+	if err != nil && errors.As(context.Cause(h.ctx), &lost) {
 		x.excluded[lost.addr] = true
 		err = lost
 	}
-	x.finish(attempt, o, first, lost == nil && failedByEngine(ctx, err))
+	x.reportFinished(attempt, o, first, lost == nil && failedByEngine(ctx, err))
 	return err
 }
 
-// hold reserves a group, and waits for one until the request's time is over. It
-// asks engines for their free memory at first and now and then; in between it
-// takes the word of their owners, whom it asks whether it is its turn.
-func (x *run) hold(ctx context.Context, attempt string) (*reservation, error) {
+// reserveGroup reserves a group, and retries until the request's deadline. On the
+// first try and then every triesPerPoll tries, it polls the engines for their free
+// memory; in between it uses the free memory that the engines' owners report. On each
+// try it asks the owners whether a more urgent group waits.
+func (x *run) reserveGroup(ctx context.Context, attempt string) (*reservation, error) {
 	id := "group-" + attempt
-	line := x.newLine(id)
-	defer line.leave()
-	var wanted []string
+	wait := x.newGroupWait(id)
+	defer wait.leave()
+	var awaited []string
 	for n := 0; ; n++ {
 		v := x.loop.View()
 		var ms []group.Member
 		var err error
-		look := looksAround(n, wanted)
-		if look {
-			ms, wanted, err = x.pick(ctx, v)
+		poll := pollsEngines(n, awaited)
+		if poll {
+			ms, awaited, err = x.pick(ctx, v)
 		}
-		turns := line.wait(ctx, v, wanted)
-		if !look {
-			ms, err = group.Pick(candidates(wanted, turns), x.prompt.Memory())
+		statuses := wait.join(ctx, v, awaited)
+		if !poll {
+			ms, err = group.Pick(candidatesFromStatuses(awaited, statuses), x.prompt.Memory())
 		}
-		if err == nil && !ahead(turns) {
+		if err == nil && !anyOutranked(statuses) {
 			var h *reservation
 			if h, err = x.reserve(ctx, v, id, ms); err == nil {
 				return h, nil
@@ -155,52 +158,53 @@
 			return nil, fault.Newf(fault.TooLarge, "shorten the prompt or the answer",
 				"the prompt and its answer need %d tokens of memory, more than a group of %d engines has", x.prompt.Memory(), group.MaxMembers)
 		}
-		if err := pause.UpTo(ctx, groupPause); err != nil {
+		if err := pause.UpTo(ctx, maxGroupRetryDelay); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// looksAround reports whether try n asks all engines: now and then, and whenever
-// there are none to wait for.
-func looksAround(n int, wanted []string) bool { return n%lookAround == 0 || len(wanted) == 0 }
+// pollsEngines reports whether a try polls all engines: every triesPerPoll tries, and
+// whenever there are no engines to wait for.
+func pollsEngines(try int, awaited []string) bool { return try%triesPerPoll == 0 || len(awaited) == 0 }
 
-// reserve takes the memory of all members, or of none. Each try needs an ID of
-// its own, since what an earlier one gives back may still be on its way.
-func (x *run) reserve(ctx context.Context, v *control.View, line string, ms []group.Member) (*reservation, error) {
-	x.reservations++
-	id := fmt.Sprintf("%s-%d", line, x.reservations)
+// reserve reserves the memory of all members or of none. Each try uses a new ID,
+// since releases of an earlier try may still be in flight and must not free the new
+// reservation.
+func (x *run) reserve(ctx context.Context, v *control.View, waitID string, ms []group.Member) (*reservation, error) {
+	x.reserveTries++
+	id := fmt.Sprintf("%s-%d", waitID, x.reserveTries)
 	err := group.Reserve(ctx, ms, func(ctx context.Context, m group.Member) error {
-		return x.engines.Reserve(ctx, m.Addr, x.holdingOf(v, id, m))
-	}, func(m group.Member) { x.release(id, m) })
+		return x.engines.Reserve(ctx, m.Addr, x.newHolding(v, id, m))
+	}, func(m group.Member) { x.releaseMember(id, m) })
 	if err != nil {
 		return nil, err
 	}
 	h := &reservation{id: id, members: ms}
-	x.keep(v, h)
+	x.startRenewals(v, h)
 	return h, nil
 }
 
-// pick chooses a group in the first hall that has enough memory free now. If
-// none has, it returns the engines of the nearest hall for which the request
-// should wait.
-func (x *run) pick(ctx context.Context, v *control.View) (ms []group.Member, wanted []string, err error) {
+// pick chooses a group in the first hall that has enough free memory. If there is
+// none, it returns the engines to wait for in the nearest hall that could hold the
+// request when idle.
+func (x *run) pick(ctx context.Context, v *control.View) (ms []group.Member, awaited []string, err error) {
 	err = group.ErrTooLarge
-	for _, es := range x.halls(v) {
+	for _, es := range x.enginesByHall(v) {
 		cs := x.freeMemory(ctx, es)
 		if ms, err = group.Pick(cs, x.prompt.Memory()); err == nil {
 			return ms, group.Addrs(ms), nil
 		}
-		if len(wanted) == 0 {
-			wanted = group.EnginesToWaitFor(cs, x.prompt.Memory())
+		if len(awaited) == 0 {
+			awaited = group.EnginesToWaitFor(cs, x.prompt.Memory())
 		}
 	}
-	return nil, wanted, err
+	return nil, awaited, err
 }
 
-// neverFits reports whether even idle engines could not hold the request.
+// neverFits reports whether the request would not fit even if all engines were idle.
 func (x *run) neverFits(v *control.View) bool {
-	for _, es := range x.halls(v) {
+	for _, es := range x.enginesByHall(v) {
 		var cs []group.Candidate
 		for _, e := range es {
 			cs = append(cs, group.Candidate{Addr: e.Addr, Free: usable(e.TotalTokens)})
@@ -212,19 +216,20 @@
 	return true
 }
 
-// usable returns the part of an engine's memory that groups may take.
-func usable(total int) int { return total - total/keptFree }
+// usable returns how much of an engine's total memory groups may reserve, in tokens.
+func usable(total int) int { return total - total/groupHeadroomDivisor }
 
-// candidate returns what groups may take of an engine.
+// candidate returns an engine as a candidate for a group, with the memory that groups
+// may reserve there.
 func candidate(addr string, free, total int) group.Candidate {
-	return group.Candidate{Addr: addr, Free: free - total/keptFree, Total: usable(total)}
+	return group.Candidate{Addr: addr, Free: free - total/groupHeadroomDivisor, Total: usable(total)}
 }
 
-// freeMemory asks engines for their free memory.
+// freeMemory polls engines for their free memory.
 func (x *run) freeMemory(ctx context.Context, es []directory.Engine) []group.Candidate {
 	out := make([]group.Candidate, len(es))
 	var g errgroup.Group
-	g.SetLimit(reportsAtOnce)
+	g.SetLimit(maxConcurrentReports)
 	for i, e := range es {
 		g.Go(func() error {
 			r, err := x.engines.Report(ctx, e.Addr)
@@ -238,7 +243,7 @@
 	return slices.DeleteFunc(out, func(c group.Candidate) bool { return c.Total == 0 })
 }
 
-// link makes the lead use the memory of the other members.
+// link makes the lead import the KV caches of the other members.
 func (x *run) link(ctx context.Context, h *reservation, lead group.Member) error {
 	for _, m := range h.members {
 		if m.Addr == lead.Addr {
--- a/daemon/dispatch/large_test.go
+++ b/daemon/dispatch/large_test.go
@@ -2,22 +2,22 @@
 
 import "testing"
 
-func TestLooksAround(t *testing.T) {
+func TestPollsEngines(t *testing.T) {
 	some := []string{"an engine"}
 	for name, tc := range map[string]struct {
-		try    int
-		wanted []string
-		looks  bool
+		try     int
+		awaited []string
+		polls   bool
 	}{
-		"at first":                    {0, nil, true},
-		"waiting":                     {1, some, false},
-		"waiting for long":            {lookAround, some, true},
-		"waiting for nothing":         {1, nil, true},
-		"waiting for nothing, longer": {lookAround + 1, nil, true},
+		"first try":           {0, nil, true},
+		"waits for an engine": {1, some, false},
+		"waits for an engine, after triesPerPoll":   {triesPerPoll, some, true},
+		"no engine to wait for":                     {1, nil, true},
+		"no engine to wait for, after triesPerPoll": {triesPerPoll + 1, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := looksAround(tc.try, tc.wanted); got != tc.looks {
-				t.Errorf("looks around: %v, want %v", got, tc.looks)
+			if got := pollsEngines(tc.try, tc.awaited); got != tc.polls {
+				t.Errorf("polls engines: %v, want %v", got, tc.polls)
 			}
 		})
 	}
--- a/daemon/dispatch/place.go
+++ b/daemon/dispatch/place.go
@@ -14,42 +14,46 @@
 )
 
 const (
-	// ownersAsked is how many owners are asked for bids. At full size an owner
-	// has 1.6 engines, so that three of them offer five. More would place a
-	// little better, and not fit the budget of control bytes.
-	ownersAsked = 3
-	// looks bounds the engines looked at to find that many owners.
-	looks = 24
-	// fallbackTries bounds the engines asked when no owner answers.
-	fallbackTries = 4
-	bidTimeout    = 150 * time.Millisecond
-	// placements is how often a placement may be refused for a changed offer
-	// before the last offer is taken as it is.
-	placements = 2
-	// heldPause is the longest pause before offers are asked for again, while
-	// all memory is kept for a more urgent group.
-	heldPause = 200 * time.Millisecond
-	// heldPart is the part of the time left, one in so many, for which a request
-	// waits for a group; then it goes ahead all the same.
-	heldPart = 3
-	// overflowWait is the predicted wait, beside the prefill, from which
-	// engines of other halls are asked too.
-	overflowWait = 400 * time.Millisecond
-	// overflowCost is added to the offers of other halls.
-	overflowCost = 20 * time.Millisecond
+	// maxSampledOwners is the number of owners that are asked for offers. At full
+	// scale an owner has 1.6 engines, so three owners offer five. Asking more would
+	// improve the placement slightly, but exceed the budget for control traffic.
+	maxSampledOwners = 3
+	// maxSampledEngines bounds the engines that are examined to find that many
+	// owners.
+	maxSampledEngines = 24
+	// maxFallbackTries bounds the engines that are tried for a load report when no
+	// owner has made an offer.
+	maxFallbackTries = 4
+	// ownerTimeout bounds a call to the owner of an engine.
+	ownerTimeout = 150 * time.Millisecond
+	// maxPlacementTries bounds the placements of an attempt. A placement is repeated
+	// if the offer has become much worse, but the last one is used regardless.
+	maxPlacementTries = 2
+	// maxOfferRetryDelay bounds the random delay before offers are requested again
+	// while all memory is blocked by a more urgent group.
+	maxOfferRetryDelay = 200 * time.Millisecond
+	// groupWaitDivisor limits how long a request waits for more urgent groups, to
+	// 1/groupWaitDivisor of the time left until its deadline. Then it is placed
+	// regardless.
+	groupWaitDivisor = 3
+	// overflowThreshold is the predicted wait, excluding the prefill, from which
+	// engines of other halls are considered too.
+	overflowThreshold = 400 * time.Millisecond
+	// otherHallPenalty is added to the predicted wait on engines of other halls.
+	otherHallPenalty = 20 * time.Millisecond
 )
 
-// place picks an engine and records the placement with its owner.
+// place chooses an engine and records the placement with the engine's owner.
 func (x *run) place(ctx context.Context, attempt string) (route.Offer, error) {
 	ctx, span := telemetry.Span(ctx, "place")
 	defer span.End()
 	best, err := x.choose(ctx, attempt)
 	for n := 1; err == nil; n++ {
-		now, ok := x.placed(ctx, x.loop.View(), attempt, best, x.prompt)
+		now, ok := x.recordPlacement(ctx, x.loop.View(), attempt, best, x.prompt)
 		if ok {
 			best.FairnessDelay = now.FairnessDelay
 		}
-		if ok || n == placements {
+		if ok || n == maxPlacementTries {
 			return best, nil
 		}
 		best, err = x.choose(ctx, attempt)
@@ -57,82 +61,84 @@
 	return route.Offer{}, err
 }
 
-// choose asks for offers and takes the best. While all memory is kept for a more
-// urgent group it asks again, for a part of the request's time.
+// choose requests offers and selects the best. While all memory is blocked by a more
+// urgent group it retries, for a limited part of the request's time.
 func (x *run) choose(ctx context.Context, attempt string) (route.Offer, error) {
-	if x.heldUntil.IsZero() {
-		x.heldUntil = time.Now().Add(time.Until(x.prompt.Deadline) / heldPart)
+	if x.waitForGroupsUntil.IsZero() {
+		x.waitForGroupsUntil = time.Now().Add(time.Until(x.prompt.Deadline) / groupWaitDivisor)
 	}
 	for {
 		offers := x.offers(ctx, x.loop.View())
 		best, d, ok := route.Choose(x.prompt, offers, time.Now())
-		x.explainChoice(Attempt{Attempt: attempt, Decision: d})
+		x.recordChoice(Attempt{Attempt: attempt, Decision: d})
 		if !ok {
-			return route.Offer{}, x.refused(best, len(offers))
+			return route.Offer{}, x.refusal(best, len(offers))
 		}
-		if !best.BlockedByGroup || time.Now().After(x.heldUntil) {
+		if !best.BlockedByGroup || time.Now().After(x.waitForGroupsUntil) {
 			return best, nil
 		}
-		if err := pause.UpTo(ctx, heldPause); err != nil {
+		if err := pause.UpTo(ctx, maxOfferRetryDelay); err != nil {
 			return route.Offer{}, err
 		}
 	}
 }
 
-// explainChoice adds a choice to the record of the request, in the place of one
-// that only led to waiting.
-func (x *run) explainChoice(a Attempt) {
+// recordChoice adds a choice to the record of the request. It replaces the previous
+// choice of the same attempt if that one only led to waiting for a group.
+func (x *run) recordChoice(a Attempt) {
 	if n := len(x.record.Attempts); n > 0 && x.record.Attempts[n-1].Attempt == a.Attempt && x.record.Attempts[n-1].Decision.WaitsForGroup() {
 		x.record.Attempts = x.record.Attempts[:n-1]
 	}
 	x.record.Attempts = append(x.record.Attempts, a)
 }
 
-// offers asks for offers in the daemon's own hall, and in the others too if
-// the wait at home is long.
+// offers requests offers in the daemon's own hall. If the best of them has a long
+// wait, too little free memory or an ejected engine, it requests offers in the other
+// halls too.
 func (x *run) offers(ctx context.Context, v *control.View) []route.Offer {
-	home := x.ask(ctx, v, v.Home(x.prompt.Model, x.prompt.Version))
+	home := x.requestOffers(ctx, v, v.Home(x.prompt.Model, x.prompt.Version))
 	best, _, ok := route.Choose(x.prompt, home, time.Now())
-	if ok && best.Wait < overflowWait && best.Fits && !best.Ejected {
+	if ok && best.Wait < overflowThreshold && best.Fits && !best.Ejected {
 		return home
 	}
-	away := x.ask(ctx, v, v.Away(x.prompt.Model, x.prompt.Version))
+	away := x.requestOffers(ctx, v, v.Away(x.prompt.Model, x.prompt.Version))
 	for i := range away {
-		away[i].Wait += overflowCost
+		away[i].Wait += otherHallPenalty
 	}
 	return append(home, away...)
 }
 
-// ask gets offers for some of the engines from their owners, all at once. If
-// none come, since owners are silent or so new that they know nothing of their
-// engines yet, it falls back to the load reports of two engines.
-func (x *run) ask(ctx context.Context, v *control.View, g *control.Group) []route.Offer {
+// requestOffers concurrently requests offers from some of the engines' owners. If
+// there are none, because the owners don't answer or are too new to have data about
+// their engines, it falls back to the load reports of two engines.
+func (x *run) requestOffers(ctx context.Context, v *control.View, g *control.Group) []route.Offer {
 	if g.Len() == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, bidTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	owners := x.ownersOf(g)
-	bids := make(chan []route.Offer, len(owners))
+	owners := x.sampleOwners(g)
+	replies := make(chan []route.Offer, len(owners))
 	for _, o := range owners {
-		x.background(func() { bids <- x.bid(ctx, v, o) })
+		x.background(func() { replies <- x.offersFromOwner(ctx, v, o) })
 	}
 	var offers []route.Offer
 	for range owners {
-		offers = append(offers, <-bids...)
+		offers = append(offers, <-replies...)
 	}
 	offers = slices.DeleteFunc(offers, func(o route.Offer) bool { return x.excluded[o.Addr] })
 	if len(offers) == 0 {
-		return x.askEngines(ctx, g)
+		return x.offersFromReports(ctx, g)
 	}
 	return offers
 }
 
-// ownersOf picks the owners to ask: that of the engine which the prompt's
-// first block is hashed to, so that equal prefixes meet, and others at
-// random. It looks at a few engines only, however many there are.
-func (x *run) ownersOf(g *control.Group) []string {
-	out := make([]string, 0, ownersAsked)
+// sampleOwners selects the owners to ask: the owner of the engine to which the hash
+// of the prompt's first block maps, so that prompts with equal prefixes are sent to
+// the same engine, and random others. It examines only a few engines, however many
+// there are.
+func (x *run) sampleOwners(g *control.Group) []string {
+	out := make([]string, 0, maxSampledOwners)
 	add := func(i int) {
 		c := g.At(i)
 		if c.Owner != "" && !x.excluded[c.Addr] && !slices.Contains(out, c.Owner) {
@@ -142,22 +148,22 @@
 	if len(x.request.Chain) > 0 {
 		add(g.Near(x.request.Chain[0]))
 	}
-	if g.Len() <= looks {
+	if g.Len() <= maxSampledEngines {
 		for _, i := range rand.Perm(g.Len()) {
-			if len(out) < ownersAsked {
+			if len(out) < maxSampledOwners {
 				add(i)
 			}
 		}
 		return out
 	}
-	for n := 0; n < looks && len(out) < ownersAsked; n++ {
+	for n := 0; n < maxSampledEngines && len(out) < maxSampledOwners; n++ {
 		add(rand.IntN(g.Len()))
 	}
 	return out
 }
 
-// bid returns the offers of one owner, or none if it does not answer.
-func (x *run) bid(ctx context.Context, v *control.View, owner string) []route.Offer {
+// offersFromOwner returns the offers of one owner, or nil if it does not answer.
+func (x *run) offersFromOwner(ctx context.Context, v *control.View, owner string) []route.Offer {
 	if owner == v.Self.Addr {
 		return x.loop.Offers(ctx, x.prompt)
 	}
@@ -168,11 +174,12 @@
 	return os
 }
 
-// askEngines makes offers from the lagging reports of two random engines.
-func (x *run) askEngines(ctx context.Context, g *control.Group) []route.Offer {
+// offersFromReports makes offers from the load reports, which lag, of two random
+// engines.
+func (x *run) offersFromReports(ctx context.Context, g *control.Group) []route.Offer {
 	x.metrics.Count("placed_without_owner_total", 1)
 	var out []route.Offer
-	for range fallbackTries {
+	for range maxFallbackTries {
 		addr := g.At(rand.IntN(g.Len())).Addr
 		if x.excluded[addr] || len(out) == 2 {
 			continue
@@ -192,15 +199,16 @@
 	return out
 }
 
-// placed records the placement with the owner, and returns the offer as it is
-// now. It reports false if that has become much worse meanwhile. An owner that
-// can't be reached does not stop the request: the engine has the last word.
-func (x *run) placed(ctx context.Context, v *control.View, attempt string, o route.Offer, p route.Prompt) (route.Offer, bool) {
+// recordPlacement records a placement with the engine's owner and returns the current
+// offer. It returns false if that is much worse than o. An owner that can't be
+// reached does not stop the request, since the engine itself decides whether to
+// accept it.
+func (x *run) recordPlacement(ctx context.Context, v *control.View, attempt string, o route.Offer, p route.Prompt) (route.Offer, bool) {
 	owner := v.Owner(o.Addr)
 	if owner == v.Self.Addr {
 		return x.loop.Place(ctx, attempt, o, p)
 	}
-	ctx, cancel := context.WithTimeout(ctx, bidTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	now, ok, err := x.peers.Place(ctx, owner, attempt, o, p)
 	if err != nil {
@@ -209,9 +217,10 @@
 	return now, ok
 }
 
-// refused returns the fault for a request that no engine can take. It is
-// given at once, with the time after which asking again is worth while.
-func (x *run) refused(best route.Offer, offers int) error {
+// refusal returns the fault for a request that no engine can serve in time. Its
+// Retry-After is the time by which the best offer misses the deadline, but at least a
+// second.
+func (x *run) refusal(best route.Offer, offers int) error {
 	if offers == 0 {
 		return fault.Newf(fault.NoEngine, "ask again, or see slipcrank engines for what is loaded where",
 			"no live engine holds model %s in version %s", x.prompt.Model, x.prompt.Version).WithRetryAfter(time.Second)
--- a/daemon/dispatch/reservation.go
+++ b/daemon/dispatch/reservation.go
@@ -13,109 +13,108 @@
 )
 
 const (
-	// holdTime is the expiry of a reservation, and renewPeriod how often a
-	// living owner moves it on.
-	holdTime    = 20 * time.Second
-	renewPeriod = 2 * time.Second
-	// renewTime bounds one renewal, and lostAfter is how many in a row may fail
-	// before a member counts as lost.
-	renewTime = time.Second
-	lostAfter = 2
-	// releasePause is the longest pause before an engine that did not answer
-	// is told again to give memory back.
-	releasePause = 500 * time.Millisecond
+	// reservationTTL is the time after which a reservation expires unless it is
+	// renewed, and renewInterval the interval at which its owner renews it.
+	reservationTTL = 20 * time.Second
+	renewInterval  = 2 * time.Second
+	// renewTimeout bounds one renewal, and maxFailedRenewals is the number of
+	// consecutive failures after which a member counts as lost.
+	renewTimeout      = time.Second
+	maxFailedRenewals = 2
+	// maxReleaseRetryDelay bounds the random delay before a release is retried.
+	maxReleaseRetryDelay = 500 * time.Millisecond
 )
 
 type (
-	// reservation is the memory that one request holds on a group of engines.
+	// reservation is the memory that one request has reserved on a group of engines.
 	reservation struct {
-		id      string
-		members []group.Member
-		lives   context.Context // ends with the reservation, or when a member is lost
-		end     context.CancelCauseFunc
-		keepers sync.WaitGroup // who renew it
+		id       string
+		members  []group.Member
+		ctx      context.Context // canceled when the reservation ends or a member is lost
+		cancel   context.CancelCauseFunc
+		renewals sync.WaitGroup // the goroutines that renew it
 	}
 
-	// lostMember is the error of a group of which one engine has gone, and with
-	// it a part of the KV cache.
-	lostMember struct{ addr string }
+	// lostMemberError reports that an engine of a group was lost, and with it a part
+	// of the KV cache.
+	lostMemberError struct{ addr string }
 )
 
-// Error names the engine.
-func (l *lostMember) Error() string { return "engine " + l.addr + " of the group has gone" }
+// Error implements error.
+func (l *lostMemberError) Error() string { return "engine " + l.addr + " of the group was lost" }
 
-// keep moves the expiry of the reservations on until the request has ended. A
-// member that can't be reached, or has begun a new life, is lost, and the
-// reservation ends with it.
-func (x *run) keep(v *control.View, h *reservation) {
-	h.lives, h.end = context.WithCancelCause(context.Background())
+// startRenewals starts to renew the reservations of all members. If a member can't be
+// reached or has restarted, it is lost and the whole reservation is canceled.
+func (x *run) startRenewals(v *control.View, h *reservation) {
+	h.ctx, h.cancel = context.WithCancelCause(context.Background())
 	for _, m := range h.members {
-		h.keepers.Go(func() { x.keepMember(v, h, m) })
+		h.renewals.Go(func() { x.renewMember(v, h, m) })
 	}
 }
 
-func (x *run) keepMember(v *control.View, h *reservation, m group.Member) {
-	for missed := 0; missed < lostAfter && !reborn(v, x.loop.View(), m.Addr); {
-		if pause.For(h.lives, renewPeriod) != nil {
+func (x *run) renewMember(v *control.View, h *reservation, m group.Member) {
+	for failed := 0; failed < maxFailedRenewals && !restarted(v, x.loop.View(), m.Addr); {
+		if pause.For(h.ctx, renewInterval) != nil {
 			return
 		}
-		missed++
-		if x.renew(v, h, m) == nil {
-			missed = 0
+		failed++
+		if x.renewOnce(v, h, m) == nil {
+			failed = 0
 		}
 	}
 	event.GroupBroken.Warn("request", x.request.ID, "engine", m.Addr)
-	h.end(&lostMember{m.Addr})
+	h.cancel(&lostMemberError{m.Addr})
 }
 
-// reborn reports whether an engine has begun a new life between two views.
-func reborn(before, now *control.View, addr string) bool {
+// restarted reports whether the incarnation of an engine changed between two views.
+func restarted(before, now *control.View, addr string) bool {
 	a, b := before.Incarnation(addr), now.Incarnation(addr)
 	return a != 0 && b != 0 && a != b
 }
 
-func (x *run) renew(v *control.View, h *reservation, m group.Member) error {
-	ctx, cancel := context.WithTimeout(h.lives, renewTime)
+func (x *run) renewOnce(v *control.View, h *reservation, m group.Member) error {
+	ctx, cancel := context.WithTimeout(h.ctx, renewTimeout)
 	defer cancel()
-	return x.engines.Reserve(ctx, m.Addr, x.holdingOf(v, h.id, m))
+	return x.engines.Reserve(ctx, m.Addr, x.newHolding(v, h.id, m))
 }
 
-func (x *run) holdingOf(v *control.View, id string, m group.Member) engine.Holding {
+func (x *run) newHolding(v *control.View, id string, m group.Member) engine.Holding {
 	return engine.Holding{
-		ID: id, Owner: v.Self.Addr, Incarnation: v.Self.Incarnation, Tokens: m.Tokens, Expires: holdTime, Kind: "reservation",
+		ID: id, Owner: v.Self.Addr, Incarnation: v.Self.Incarnation, Tokens: m.Tokens, Expires: reservationTTL, Kind: "reservation",
 	}
 }
 
-// free gives everything back, whatever became of the request, once no renewal is
-// under way: one that came after the release would reserve the memory anew.
-func (x *run) free(h *reservation) {
-	h.end(nil)
+// releaseGroup releases the memory of all members, in the background. It first waits
+// until no renewal is in flight, since a renewal that arrived after the release would
+// reserve the memory again.
+func (x *run) releaseGroup(h *reservation) {
+	h.cancel(nil)
 	x.background(func() {
-		h.keepers.Wait()
-		group.Release(h.members, func(m group.Member) { x.release(h.id, m) })
+		h.renewals.Wait()
+		group.Release(h.members, func(m group.Member) { x.releaseMember(h.id, m) })
 	})
 }
 
-// release gives a member's memory back. An engine that does not answer is told
-// again until the reservation has expired by itself: until then nobody else
-// gets the memory.
-func (x *run) release(id string, m group.Member) {
+// releaseMember releases the memory of one member, in the background. It retries
+// until the engine has confirmed the release or the reservation has expired, since
+// until then no other request can use the memory.
+func (x *run) releaseMember(id string, m group.Member) {
 	x.background(func() {
 		for begun := time.Now(); ; {
-			err := x.releaseOnce(id, m)
+			err := x.tryRelease(id, m)
 			if err == nil {
 				return
 			}
-			if time.Since(begun) > holdTime {
+			if time.Since(begun) > reservationTTL {
 				event.ReleaseLost.Warn("reservation", id, "engine", m.Addr, "error", err.Error())
 				return
 			}
-			_ = pause.UpTo(context.Background(), releasePause) // never ends early
+			_ = pause.UpTo(context.Background(), maxReleaseRetryDelay) // this context never ends
 		}
 	})
 }
 
-func (x *run) releaseOnce(id string, m group.Member) error {
+func (x *run) tryRelease(id string, m group.Member) error {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	return x.engines.Release(ctx, m.Addr, id)
--- a/daemon/dispatch/reservation_test.go
+++ b/daemon/dispatch/reservation_test.go
@@ -19,16 +19,17 @@
 	"slipcrank.example/daemon/control"
 )
 
-// TestRenewalUnderWayIsNotOvertaken gives a reservation back while a renewal of
-// it is on its way, which would reserve the memory anew if it came later.
-func TestRenewalUnderWayIsNotOvertaken(t *testing.T) {
+// TestReleaseWaitsForRenewalInFlight releases a reservation while a renewal is in
+// flight. If the renewal arrived after the release, it would reserve the memory
+// again.
+func TestReleaseWaitsForRenewalInFlight(t *testing.T) {
 	var mu sync.Mutex
 	var order []string
-	arrived, let := make(chan struct{}), make(chan struct{})
+	arrived, proceed := make(chan struct{}), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/reserve") {
 			close(arrived)
-			<-let
+			<-proceed
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -42,32 +43,32 @@
 		background: func(f func()) { f() },
 	}}
 	h := &reservation{id: "group", members: []group.Member{{Addr: strings.TrimPrefix(s.URL, "http://"), Tokens: 1}}}
-	x.keep(x.loop.View(), h)
+	x.startRenewals(x.loop.View(), h)
 	<-arrived
 	freed := make(chan struct{})
 	go func() {
 		defer close(freed)
-		x.free(h)
+		x.releaseGroup(h)
 	}()
 	select {
 	case <-freed:
-	case <-time.After(renewTime / 4): // it waits, as it should
+	case <-time.After(renewTimeout / 4): // expected: the release waits for the renewal
 	}
-	close(let)
+	close(proceed)
 	<-freed
 	mu.Lock()
 	defer mu.Unlock()
 	if want := []string{"/engine/reserve", "/engine/release"}; !slices.Equal(order, want) {
-		t.Errorf("the engine got %v, want %v", order, want)
+		t.Errorf("engine received %v, want %v", order, want)
 	}
 }
 
-// TestReleaseThatGetsLostIsRepeated has an engine that fails the first order to
-// give memory back, which others would else lack until the reservation expires.
-func TestReleaseThatGetsLostIsRepeated(t *testing.T) {
-	var asked atomic.Int64
+// TestFailedReleaseIsRetried has the engine fail the first release. Without a retry,
+// other requests could not use the memory until the reservation expires.
+func TestFailedReleaseIsRetried(t *testing.T) {
+	var calls atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if asked.Add(1) == 1 {
+		if calls.Add(1) == 1 {
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
@@ -75,17 +76,18 @@
 	}))
 	defer s.Close()
 	x := &run{Dispatcher: &Dispatcher{engines: engine.New(web.New()), background: func(f func()) { f() }}}
-	x.release("group", group.Member{Addr: strings.TrimPrefix(s.URL, "http://"), Tokens: 1})
-	if n := asked.Load(); n != 2 {
-		t.Errorf("the engine was asked %d times, want again until it agreed", n)
+	x.releaseMember("group", group.Member{Addr: strings.TrimPrefix(s.URL, "http://"), Tokens: 1})
+	if n := calls.Load(); n != 2 {
+		t.Errorf("engine received %d releases, want 2: one that fails and its retry", n)
 	}
 }
 
-// TestTriesOfAGroupHaveNamesOfTheirOwn has a release of a try that failed reach
-// an engine after the next try has reserved there.
-func TestTriesOfAGroupHaveNamesOfTheirOwn(t *testing.T) {
+// TestEachReserveTryHasItsOwnID lets the release of a failed try reach an engine
+// after the next try has reserved memory there. The release must not free the new
+// reservation.
+func TestEachReserveTryHasItsOwnID(t *testing.T) {
 	var mu sync.Mutex
-	held, released := map[string]bool{}, 0
+	reserved, released := map[string]bool{}, 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var order struct {
 			ID      string `json:"id"`
@@ -99,45 +101,45 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if strings.HasSuffix(r.URL.Path, "/release") {
-			delete(held, order.ID)
+			delete(reserved, order.ID)
 			released++
 		} else {
-			held[order.Holding.ID] = true
+			reserved[order.Holding.ID] = true
 		}
 		_, _ = w.Write([]byte("{}"))
 	}))
 	defer s.Close()
-	var late []func()
+	var delayed []func()
 	x := &run{Dispatcher: &Dispatcher{
 		loop:       control.New(member.Member{Addr: "self", Hall: "a", Incarnation: 1}),
 		engines:    engine.New(web.New()),
-		background: func(f func()) { late = append(late, f) },
+		background: func(f func()) { delayed = append(delayed, f) },
 	}}
 	addr := strings.TrimPrefix(s.URL, "http://")
-	gone := []group.Member{{Addr: addr, Tokens: 1}, {Addr: "127.0.0.1:1", Tokens: 1}}
-	if _, err := x.reserve(t.Context(), x.loop.View(), "group", gone); err == nil {
-		t.Fatal("an engine that isn't there gave memory")
+	members := []group.Member{{Addr: addr, Tokens: 1}, {Addr: "127.0.0.1:1", Tokens: 1}}
+	if _, err := x.reserve(t.Context(), x.loop.View(), "group", members); err == nil {
+		t.Fatal("reserved memory on an engine that doesn't exist")
 	}
-	h, err := x.reserve(t.Context(), x.loop.View(), "group", gone[:1])
+	h, err := x.reserve(t.Context(), x.loop.View(), "group", members[:1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer h.end(nil)
-	for _, f := range late {
+	defer h.cancel(nil)
+	for _, f := range delayed {
 		go f()
 	}
-	by := time.Now().Add(10 * time.Second)
+	deadline := time.Now().Add(10 * time.Second)
 	for n := 0; n == 0; _ = pause.For(t.Context(), 5*time.Millisecond) {
 		mu.Lock()
 		n = released
 		mu.Unlock()
-		if time.Now().After(by) {
-			t.Fatal("the try that failed gave nothing back")
+		if time.Now().After(deadline) {
+			t.Fatal("the failed try released nothing within 10 s")
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if !held[h.id] || len(held) != 1 {
-		t.Errorf("the engine holds %v, want %s alone", held, h.id)
+	if !reserved[h.id] || len(reserved) != 1 {
+		t.Errorf("engine has the reservations %v, want only %s", reserved, h.id)
 	}
 }
--- a/daemon/dispatch/ring.go
+++ b/daemon/dispatch/ring.go
@@ -7,18 +7,18 @@
 	"slipcrank.example/core/route"
 )
 
-// ringLength bounds the requests that are kept for explanation.
-const ringLength = 2048
+// ringCapacity is the number of records that a ring holds.
+const ringCapacity = 2048
 
 type (
-	// Attempt is one placement of a request.
+	// Attempt records one attempt at a request and its placement.
 	Attempt struct {
 		Attempt  string         `json:"attempt"`
 		Decision route.Decision `json:"decision"`
 		Took     time.Duration  `json:"took"`
 	}
 
-	// Record explains one request.
+	// Record describes how one request was served, to explain it to operators.
 	Record struct {
 		ID        string    `json:"id"`
 		Workspace string    `json:"workspace"`
@@ -26,16 +26,17 @@
 		Tokens    int       `json:"tokens"`
 		Arrival   time.Time `json:"arrival"`
 		Attempts  []Attempt `json:"attempts"`
-		// FirstToken is the time from the arrival to the first token, or 0.
+		// FirstToken is the time from the arrival to the first token, or 0 if there
+		// was none.
 		FirstToken time.Duration `json:"first_token"`
 		Outcome    string        `json:"outcome"`
 	}
 
-	// Ring keeps the records of the last requests. It is safe for use by
-	// many goroutines.
+	// Ring is a ring buffer of the records of the most recent requests. It is safe
+	// for concurrent use.
 	Ring struct {
 		mu      sync.Mutex
-		records [ringLength]Record
+		records [ringCapacity]Record
 		index   map[string]int
 		next    int
 	}
@@ -44,17 +45,17 @@
 // NewRing returns an empty ring.
 func NewRing() *Ring { return &Ring{index: map[string]int{}} }
 
-// Add keeps a record in place of the oldest one.
+// Add stores a record and overwrites the oldest one.
 func (r *Ring) Add(x Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.index, r.records[r.next].ID)
 	r.records[r.next] = x
 	r.index[x.ID] = r.next
-	r.next = (r.next + 1) % ringLength
+	r.next = (r.next + 1) % ringCapacity
 }
 
-// Get returns the record of a request, and whether it is still kept.
+// Get returns the record of a request, and whether there is one.
 func (r *Ring) Get(id string) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/dispatch/stream.go
+++ b/daemon/dispatch/stream.go
@@ -12,8 +12,8 @@
 	"slipcrank.example/daemon/event"
 )
 
-// stream runs one attempt on an engine and passes its tokens on. It returns
-// the time from the start of the attempt to its first token, or 0.
+// stream runs one attempt on an engine and relays its tokens. It returns the time
+// from the start of the attempt to its first token, or 0 if there was none.
 func (x *run) stream(ctx context.Context, attempt string, o route.Offer) (time.Duration, error) {
 	started := time.Now()
 	s, err := x.engines.Generate(ctx, o.Addr, engine.Request{
@@ -23,25 +23,25 @@
 		Attempt:  attempt,
 		Version:  x.request.Model.Version,
 		Priority: x.prompt.WithDelay(o.FairnessDelay).Priority,
-		Resume:   x.offset,
-		Holds:    x.holding,
+		Resume:   x.nextOffset,
+		Holds:    x.reservationID,
 		Deadline: x.request.Deadline,
 	})
 	if err != nil {
 		return 0, err
 	}
 	defer s.Close()
-	stop := context.AfterFunc(ctx, s.Close) // a read in progress ends at once
+	stop := context.AfterFunc(ctx, s.Close) // interrupts a blocked read
 	defer stop()
-	first, err := x.pass(s, started)
+	first, err := x.relay(s, started)
 	if err != nil {
-		x.cancel(o.Addr, attempt)
+		x.cancelAttempt(o.Addr, attempt)
 	}
 	return first, err
 }
 
-// pass reads pieces to the end marker.
-func (x *run) pass(s *engine.Stream, started time.Time) (time.Duration, error) {
+// relay emits the pieces of a stream until it ends.
+func (x *run) relay(s *engine.Stream, started time.Time) (time.Duration, error) {
 	var first time.Duration
 	for {
 		p, err := s.Next()
@@ -57,7 +57,7 @@
 		}
 		if first == 0 {
 			first = time.Since(started)
-			x.noteFirst()
+			x.recordFirstToken()
 		}
 		if p.End {
 			x.outcome.PromptTokens, x.outcome.CachedTokens, x.outcome.Finish = p.Prompt, p.Cached, p.Finish
@@ -66,20 +66,20 @@
 		if err := x.emit(p); err != nil {
 			return first, errors.Mark(err, ErrCallerGone)
 		}
-		x.offset = p.Offset + 1
+		x.nextOffset = p.Offset + 1
 		x.outcome.Tokens++
 	}
 }
 
-func (x *run) noteFirst() {
+func (x *run) recordFirstToken() {
 	if x.outcome.FirstToken == 0 {
 		x.outcome.FirstToken = time.Since(x.request.Arrival)
 	}
 }
 
-// cancel frees an attempt's memory on its engine, whatever became of the
-// connection.
-func (x *run) cancel(addr, attempt string) {
+// cancelAttempt asks an engine to free the memory of an attempt, in the background
+// and independently of the state of the attempt's connection.
+func (x *run) cancelAttempt(addr, attempt string) {
 	x.background(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
--- a/daemon/dispatch/suspects.go
+++ b/daemon/dispatch/suspects.go
@@ -21,64 +21,68 @@
 )
 
 const (
-	// probeTime bounds the question whether an engine on which a request broke has
-	// ended: ten times the longest way between halls.
-	probeTime = 50 * time.Millisecond
-	// lookTime bounds the same look for another daemon, for which no caller waits.
-	lookTime = 500 * time.Millisecond
-	// suspectPause lies before each further attempt at a suspect: copies that come
-	// to several daemons break together, and each daemon has to hear from the
-	// others first. Without it a prompt that came to three daemons at once ended
-	// five engines in one run of three.
-	suspectPause = 100 * time.Millisecond
-	// apartPause is the longest pause between two looks for a free engine.
-	apartPause = 50 * time.Millisecond
+	// probeTimeout bounds the probe whether an engine has crashed after an attempt on
+	// it failed. It is ten times the highest latency between halls.
+	probeTimeout = 50 * time.Millisecond
+	// witnessProbeTimeout bounds the same probe by a witness, for which no caller
+	// waits.
+	witnessProbeTimeout = 500 * time.Millisecond
+	// suspectRetryDelay precedes each further attempt at a suspect. Copies of a
+	// request that run at several daemons fail at the same time, and each daemon
+	// first has to receive the records of the others. Without the delay, a prompt
+	// sent to three daemons at once crashed five engines in one run of three.
+	suspectRetryDelay = 100 * time.Millisecond
+	// maxFreeEnginePollDelay bounds the random delay between two searches for an
+	// engine without suspects.
+	maxFreeEnginePollDelay = 50 * time.Millisecond
 )
 
 type (
-	// suspects are the requests under which engines ended. It is safe for use by
-	// many goroutines.
+	// suspects tracks the requests that were running on engines when these crashed.
+	// It is safe for concurrent use.
 	suspects struct {
-		book  *quarantine.Registry
-		clock *boottime.Clock
-		tell  func([]quarantine.Record)
-
-		mu     sync.Mutex
-		apart  map[string]int // requests that run apart, by engine
-		roster *quarantine.Roster
-		seen   *control.View // that the roster has
+		registry *quarantine.Registry
+		clock    *boottime.Clock
+		send     func([]quarantine.Record)
+
+		mu         sync.Mutex
+		running    map[string]int // number of isolated requests, by engine
+		roster     *quarantine.Roster
+		rosterView *control.View // the view that was last applied to roster
 	}
 )
 
-// WithSuspectSender sets who tells other daemons of requests under which engines ended.
-func WithSuspectSender(tell func([]quarantine.Record)) Option {
-	return func(d *Dispatcher) { d.suspects.tell = tell }
+// WithSuspectSender sets the function that sends records of suspects to other
+// daemons.
+func WithSuspectSender(send func([]quarantine.Record)) Option {
+	return func(d *Dispatcher) { d.suspects.send = send }
 }
 
 func newSuspects() *suspects {
 	return &suspects{
-		book: quarantine.NewRegistry(), clock: boottime.New(),
-		tell:   func([]quarantine.Record) {},
-		apart:  map[string]int{},
-		roster: quarantine.NewRoster(),
+		registry: quarantine.NewRegistry(), clock: boottime.New(),
+		send:    func([]quarantine.Record) {},
+		running: map[string]int{},
+		roster:  quarantine.NewRoster(),
 	}
 }
 
-// MergeSuspects takes in what another daemon knows of requests under which engines
-// ended.
+// MergeSuspects merges records of suspects received from another daemon, and probes
+// the engines for which this daemon is a witness. Malformed records are logged and
+// ignored.
 func (d *Dispatcher) MergeSuspects(rs []quarantine.Record) {
 	for _, r := range rs {
 		if err := r.Validate(); err != nil {
 			event.SuspectUnusable.Warn("error", err)
 			continue
 		}
-		d.suspects.note(d.suspects.book.Merge(r, d.suspects.clock.Now()))
-		d.witness(r)
+		d.suspects.logChanges(d.suspects.registry.Merge(r, d.suspects.clock.Now()))
+		d.probeAsWitness(r)
 	}
 }
 
-// note writes what has changed.
-func (s *suspects) note(changes []quarantine.Change) {
+// logChanges logs stage changes and removals of suspects.
+func (s *suspects) logChanges(changes []quarantine.Change) {
 	for _, k := range changes {
 		if k.Removed {
 			event.SuspectForgotten.Info("print", k.Record.Fingerprint, "workspace", k.Record.Workspace)
@@ -88,63 +92,64 @@
 	}
 }
 
-// enter notes that a suspect runs on an engine. The returned function ends that.
-func (s *suspects) enter(addr string) func() {
+// trackRun counts a suspect as running on an engine until the returned function is
+// called.
+func (s *suspects) trackRun(addr string) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apart[addr]++
+	s.running[addr]++
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.apart[addr]--; s.apart[addr] == 0 {
-			delete(s.apart, addr)
+		if s.running[addr]--; s.running[addr] == 0 {
+			delete(s.running, addr)
 		}
 	}
 }
 
-// free reports whether no suspect of this daemon runs on an engine.
-func (s *suspects) free(addr string) bool {
+// noneRunningOn reports whether no suspect of this daemon is running on an engine.
+func (s *suspects) noneRunningOn(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.apart[addr] == 0
+	return s.running[addr] == 0
 }
 
-// identity is what makes two attempts the same request.
-func (r Request) identity() quarantine.Request {
+// quarantineRequest returns the properties that identify the request across attempts.
+func (r Request) quarantineRequest() quarantine.Request {
 	return quarantine.Request{Workspace: r.Workspace.Workspace, Method: http.MethodPost, Target: r.Path, Body: r.Body}
 }
 
-// identity returns the request's digests. Its body is hashed once.
+// identity returns the digests of the request. The body is hashed only once.
 func (x *run) identity() quarantine.Identity {
-	if x.digests.Fingerprint == (quarantine.Fingerprint{}) {
-		x.digests = x.request.identity().Identity()
+	if x.cachedIdentity.Fingerprint == (quarantine.Fingerprint{}) {
+		x.cachedIdentity = x.request.quarantineRequest().Identity()
 	}
-	return x.digests
+	return x.cachedIdentity
 }
 
-// stage is what becomes of the request. Its body is hashed only if a suspect looks
-// like it.
+// stage returns the request's stage of quarantine. The body is hashed only if a
+// suspect has the same head hash.
 func (x *run) stage() quarantine.Stage {
-	if !x.suspects.book.MayContain(x.request.identity().HeadHash()) {
+	if !x.suspects.registry.MayContain(x.request.quarantineRequest().HeadHash()) {
 		return quarantine.Clear
 	}
-	x.suspects.note(x.suspects.book.Expire(x.suspects.clock.Now()))
-	x.suspects.check(x.loop.View())
-	return x.suspects.book.Stage(x.identity().Fingerprint)
+	x.suspects.logChanges(x.suspects.registry.Expire(x.suspects.clock.Now()))
+	x.suspects.reconcile(x.loop.View())
+	return x.suspects.registry.Stage(x.identity().Fingerprint)
 }
 
-// awaitVerdict waits while it is undecided whether engines have ended under the
-// request.
-func (x *run) awaitVerdict(ctx context.Context) {
-	for x.stage() != quarantine.Clear && x.suspects.book.AwaitsConfirmation(x.identity().Fingerprint, x.suspects.clock.Now()) {
+// awaitConfirmation waits while the crashes recorded against the request are yet to
+// be confirmed; see [quarantine.Registry.AwaitsConfirmation].
+func (x *run) awaitConfirmation(ctx context.Context) {
+	for x.stage() != quarantine.Clear && x.suspects.registry.AwaitsConfirmation(x.identity().Fingerprint, x.suspects.clock.Now()) {
 		if pause.For(ctx, quarantine.ConfirmationPollInterval) != nil {
-			return // placing looks at ctx
+			return // the placement checks ctx
 		}
 	}
 }
 
-// held refuses a request under which too many engines ended.
-func (x *run) held(s quarantine.Stage) error {
+// blockedError returns a fault if the stage is Blocked, and nil otherwise.
+func (x *run) blockedError(s quarantine.Stage) error {
 	if s != quarantine.Blocked {
 		return nil
 	}
@@ -152,75 +157,77 @@
 		"change the request; operators see which it is in the log, SC1517")
 }
 
-// placeApart picks an engine for a suspect, on which no other one of this daemon's
-// runs. When many engines end at once there are more suspects than engines: those
-// under which one has ended then run anywhere, the others wait until one is free.
-// Refused, 10 and 13 of 48 streams were lost when a third of the engines died.
-func (x *run) placeApart(ctx context.Context, attempt string) (route.Offer, error) {
+// placeIsolated places a suspect on an engine that runs no other suspect of this
+// daemon. When many engines crash at once, there are more suspects than engines.
+// Requests in stage Suspect then run on any engine, and those in higher stages wait
+// for an engine without suspects. When they were refused instead, 10 and 13 of 48
+// streams were lost when a third of the engines crashed.
+func (x *run) placeIsolated(ctx context.Context, attempt string) (route.Offer, error) {
 	for {
 		v := x.loop.View()
-		addr, ok := x.freeEngine(v)
+		addr, ok := x.engineWithoutSuspects(v)
 		switch {
 		case ok:
-			return x.take(ctx, v, attempt, addr), nil
+			return x.placeSuspect(ctx, v, attempt, addr), nil
 		case x.stage() == quarantine.Suspect:
 			return x.place(ctx, attempt)
 		}
-		if err := pause.UpTo(ctx, apartPause); err != nil {
+		if err := pause.UpTo(ctx, maxFreeEnginePollDelay); err != nil {
 			return route.Offer{}, err
 		}
 	}
 }
 
-// freeEngine returns the engine for a suspect, if one is free of others: the first
-// in an order that all daemons know, so that copies which come to several daemons
-// meet, and one engine can end for all of them.
-func (x *run) freeEngine(v *control.View) (string, bool) {
+// engineWithoutSuspects selects an engine that runs no suspect of this daemon, and
+// returns false if there is none. All daemons rank the engines in the same order, so
+// that copies of a request at several daemons are sent to the same engine and only
+// that engine may crash.
+func (x *run) engineWithoutSuspects(v *control.View) (string, bool) {
 	var names []string
-	for _, es := range x.halls(v) {
+	for _, es := range x.enginesByHall(v) {
 		for _, e := range es {
-			if !x.excluded[e.Addr] && x.suspects.free(e.Addr) {
+			if !x.excluded[e.Addr] && x.suspects.noneRunningOn(e.Addr) {
 				names = append(names, e.Addr)
 			}
 		}
 	}
-	return route.Owner(x.request.identity().HeadHash().String(), names), len(names) > 0
+	return route.Owner(x.request.quarantineRequest().HeadHash().String(), names), len(names) > 0
 }
 
-// take places a suspect on an engine.
-func (x *run) take(ctx context.Context, v *control.View, attempt, addr string) route.Offer {
+// placeSuspect places a suspect on the engine at addr.
+func (x *run) placeSuspect(ctx context.Context, v *control.View, attempt, addr string) route.Offer {
 	o := route.Offer{Addr: addr, Incarnation: v.Incarnation(addr)}
-	x.explainChoice(Attempt{Attempt: attempt, Decision: route.Decision{Chosen: addr, Reason: "an engine has ended under the request"}})
-	if now, ok := x.placed(ctx, v, attempt, o, x.prompt); ok {
+	x.recordChoice(Attempt{Attempt: attempt, Decision: route.Decision{Chosen: addr, Reason: "an engine has ended under the request"}})
+	if now, ok := x.recordPlacement(ctx, v, attempt, o, x.prompt); ok {
 		o.FairnessDelay = now.FairnessDelay
 	}
 	return o
 }
 
-// inquire finds out whether the engine has ended on which an attempt broke, and
-// tells other daemons.
-func (x *run) inquire(v *control.View, addr string, apart bool, err error) {
-	if errors.IsAny(err, ErrCallerGone, engine.ErrBusy, engine.ErrLeaving, engine.ErrNotSent) || !x.closed(addr, probeTime) {
+// recordCrash probes the engine on which an attempt failed. If the engine has
+// crashed, it records the crash and sends the record to other daemons.
+func (x *run) recordCrash(v *control.View, addr string, isolated bool, err error) {
+	if errors.IsAny(err, ErrCallerGone, engine.ErrBusy, engine.ErrLeaving, engine.ErrNotSent) || !x.portClosed(addr, probeTimeout) {
 		return
 	}
-	start := startOf(addr, v.Incarnation(addr))
+	start := instanceID(addr, v.Incarnation(addr))
 	event.EngineEnded.Warn("request", x.request.ID, "engine", start, "workspace", x.request.Workspace.Workspace)
-	x.suspects.check(v) // which has this start, if the next view has another
+	x.suspects.reconcile(v) // adds this incarnation to the roster, to detect a later one
 	id := x.identity()
-	x.suspects.note(x.suspects.book.AddCrash(id, quarantine.Crash{
+	x.suspects.logChanges(x.suspects.registry.AddCrash(id, quarantine.Crash{
 		Server:    quarantine.ServerDigest(start),
 		Reporter:  quarantine.ServerDigest(v.Self.Addr),
-		Isolated:  apart,
-		Confirmed: len(v.Members) <= 1, // a daemon that is alone misleads nobody
+		Isolated:  isolated,
+		Confirmed: len(v.Members) <= 1, // a single daemon has no witnesses, and no others to mislead
 	}, x.suspects.clock.Now()))
-	r, _ := x.suspects.book.Lookup(id.Fingerprint, x.suspects.clock.Now())
-	x.suspects.tell([]quarantine.Record{r})
+	r, _ := x.suspects.registry.Lookup(id.Fingerprint, x.suspects.clock.Now())
+	x.suspects.send([]quarantine.Record{r})
 }
 
-// closed reports whether an engine's port is found closed, or a proxy before it
-// closes the connection.
-func (d *Dispatcher) closed(addr string, within time.Duration) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// portClosed reports whether an engine refuses connections, or a proxy in front of it
+// closes them.
+func (d *Dispatcher) portClosed(addr string, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	_, err := d.engines.Report(ctx, addr)
 	return errors.IsAny(err, syscall.ECONNREFUSED, fasthttp.ErrConnectionClosed)
--- a/daemon/dispatch/witness.go
+++ b/daemon/dispatch/witness.go
@@ -9,23 +9,23 @@
 	"slipcrank.example/daemon/control"
 )
 
-// startOf names the life that an engine is in.
-func startOf(addr string, incarnation uint64) string {
+// instanceID identifies one incarnation of an engine.
+func instanceID(addr string, incarnation uint64) string {
 	return addr + "@" + strconv.FormatUint(incarnation, 10)
 }
 
-// check compares what is known of suspects with the engines of a view. One whose
-// incarnation is a later one has ended. An engine that is only unreachable proves
-// nothing: the daemons that poll it may be cut off.
-func (s *suspects) check(v *control.View) {
+// reconcile compares the recorded crashes with the engines of a view. An engine with
+// a later incarnation than before has crashed or restarted. An engine that is only
+// unreachable proves nothing, since the daemons that poll it may be cut off from it.
+func (s *suspects) reconcile(v *control.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	if v != s.seen {
-		s.seen = v
-		s.roster.Update(starts(v), now)
+	if v != s.rosterView {
+		s.rosterView = v
+		s.roster.Update(instances(v), now)
 	}
-	s.note(s.book.Reconcile(func(server uint32) quarantine.Listing {
+	s.logChanges(s.registry.Reconcile(func(server uint32) quarantine.Listing {
 		if l := s.roster.Listing(server, now); l == quarantine.Terminated {
 			return l
 		}
@@ -33,33 +33,34 @@
 	}, now))
 }
 
-// starts lists the engines for a roster.
-func starts(v *control.View) []quarantine.Instance {
+// instances returns the engines of a view as entries for a roster.
+func instances(v *control.View) []quarantine.Instance {
 	var list []quarantine.Instance
 	for _, e := range v.Engines {
-		list = append(list, quarantine.Instance{ID: startOf(e.Addr, e.Incarnation), Name: e.Addr, Hall: e.Hall})
+		list = append(list, quarantine.Instance{ID: instanceID(e.Addr, e.Incarnation), Name: e.Addr, Hall: e.Hall})
 	}
 	return list
 }
 
-// witness looks at engines that another daemon has found closed, where this one is a
-// witness, and tells others if it finds them closed too. Nobody waits for it.
-func (d *Dispatcher) witness(r quarantine.Record) {
+// probeAsWitness probes, in the background, those engines of an unconfirmed record
+// for which this daemon is a witness.
+func (d *Dispatcher) probeAsWitness(r quarantine.Record) {
 	v := d.loop.View()
 	for _, e := range r.Crashes {
 		if e.Confirmed {
 			continue
 		}
 		for _, g := range v.Engines {
-			if quarantine.ServerDigest(startOf(g.Addr, g.Incarnation)) == e.Server && witnesses(v, g.Hall, e) {
-				d.background(func() { d.look(g.Addr, e.Server) })
+			if quarantine.ServerDigest(instanceID(g.Addr, g.Incarnation)) == e.Server && isWitness(v, g.Hall, e) {
+				d.background(func() { d.confirmCrash(g.Addr, e.Server) })
 			}
 		}
 	}
 }
 
-// witnesses reports whether this daemon is to look at an engine of a hall.
-func witnesses(v *control.View, hall string, e quarantine.Crash) bool {
+// isWitness reports whether this daemon has to probe an engine in a hall to confirm
+// crash e.
+func isWitness(v *control.View, hall string, e quarantine.Crash) bool {
 	var hosts []quarantine.Host
 	for _, m := range v.Members {
 		if m.Status == member.Alive || m.Status == member.Suspect {
@@ -69,14 +70,15 @@
 	return slices.Contains(quarantine.Witnesses(e.Server, hall, e.Reporter, hosts), quarantine.ServerDigest(v.Self.Addr))
 }
 
-// look proves an engine's end, if this daemon finds it closed too.
-func (d *Dispatcher) look(addr string, digest uint32) {
-	if !d.closed(addr, lookTime) {
+// confirmCrash probes an engine. If its port is closed, it confirms the crash and
+// sends the changed records to other daemons.
+func (d *Dispatcher) confirmCrash(addr string, digest uint32) {
+	if !d.portClosed(addr, witnessProbeTimeout) {
 		return
 	}
-	rs, changes := d.suspects.book.ConfirmCrash(digest, d.suspects.clock.Now())
-	d.suspects.note(changes)
+	rs, changes := d.suspects.registry.ConfirmCrash(digest, d.suspects.clock.Now())
+	d.suspects.logChanges(changes)
 	if len(rs) > 0 {
-		d.suspects.tell(rs)
+		d.suspects.send(rs)
 	}
 }
