--- a/daemon/callers/complete.go
+++ b/daemon/callers/complete.go
@@ -23,12 +23,12 @@
 
 	defaultMaxTokens = 64
 	maxMaxTokens     = 32_768
-	// earlyTime is how long a streamed request waits for its first token or
-	// its failure before the status is sent. A later failure comes as an
-	// event in the stream.
-	earlyTime = 500 * time.Millisecond
-	// pieceBuffer is how many tokens a slow reader may lag behind.
-	pieceBuffer = 256
+	// earlyFailureWindow is how long a streamed request waits for its first token or
+	// its failure before the status is sent. A later failure is reported as an event
+	// in the stream.
+	earlyFailureWindow = 500 * time.Millisecond
+	// pieceBufferSize is the number of tokens by which a slow reader may lag behind.
+	pieceBufferSize = 256
 )
 
 type (
@@ -45,12 +45,12 @@
 		Content string `json:"content"`
 	}
 
-	// answer is a generation in progress, between the goroutine that runs it
-	// and the one that writes to the caller.
-	answer struct {
+	// generation is a generation in progress. It connects the goroutine that runs the
+	// generation with the one that writes to the caller.
+	generation struct {
 		request dispatch.Request
 		pieces  chan engine.Piece
-		ended   chan struct{} // closed after outcome and err are set
+		done    chan struct{} // closed after outcome and err are set
 		outcome dispatch.Outcome
 		err     error
 		cancel  context.CancelFunc
@@ -59,43 +59,44 @@
 	}
 )
 
-// complete runs a completion. It reports whether the answer is streamed, in
-// which case the request is in progress until the stream has been written.
-func (s *Server) complete(c *fasthttp.RequestCtx, r request) (bool, error) {
+// serveCompletion serves a completion. It reports whether the answer is streamed, in
+// which case the request counts as in progress until the stream has been written.
+func (s *Server) serveCompletion(c *fasthttp.RequestCtx, r request) (bool, error) {
 	chat := string(c.Path()) == chatPath
 	old := onOldSite(c, r)
-	d, stream, err := s.parse(c, r, chat)
+	d, stream, err := s.parseCompletion(c, r, chat)
 	if err != nil {
 		return false, err
 	}
 	if old && d.Repeatable() {
-		return s.passOldSite(c, r, d, stream)
+		return s.proxyToOldSite(c, r, d, stream)
 	}
 	if !d.Repeatable() {
 		return false, s.completeOnce(c, r, d, chat, old)
 	}
-	from, err := resumeOffset(c.Request.Header.Peek(headerResume), d.MaxTokens)
+	offset, err := resumeOffset(c.Request.Header.Peek(headerResume), d.MaxTokens)
 	if err != nil {
 		return false, err
 	}
-	d.ResumeOffset = from
-	a, err := s.start(r, d, chat)
+	d.ResumeOffset = offset
+	g, err := s.startGeneration(r, d, chat)
 	if err != nil {
 		return false, err
 	}
 	if stream {
-		return s.streamed(c, a)
+		return s.serveStream(c, g)
 	}
-	whole, err := a.collect()
+	full, err := g.collect()
 	if err != nil {
 		return false, err
 	}
-	writeJSON(c, whole)
+	writeJSON(c, full)
 	return false, nil
 }
 
-// parse checks the body and takes it over from the request's buffer.
-func (s *Server) parse(c *fasthttp.RequestCtx, r request, chat bool) (dispatch.Request, bool, error) {
+// parseCompletion parses and validates the body. The returned request takes ownership
+// of the body's buffer. It also reports whether the caller wants a stream.
+func (s *Server) parseCompletion(c *fasthttp.RequestCtx, r request, chat bool) (dispatch.Request, bool, error) {
 	var q completionRequest
 	if err := json.Unmarshal(c.PostBody(), &q); err != nil {
 		return dispatch.Request{}, false, fault.Newf(fault.BadRequest, "send a JSON object with model and prompt",
@@ -122,7 +123,7 @@
 		Workspace: r.workspace,
 		Model:     m,
 		Path:      string(c.Path()),
-		Body:      c.Request.SwapBody(nil), // not copied; the library gets a new buffer
+		Body:      c.Request.SwapBody(nil), // without a copy: fasthttp allocates a new buffer
 		Tokens:    prefix.Tokens(len(text)),
 		MaxTokens: q.MaxTokens,
 		Chain:     prefix.Chain(q.Model, text),
@@ -149,46 +150,47 @@
 	return text, nil
 }
 
-// start runs the request on the pool of requests.
-func (s *Server) start(r request, d dispatch.Request, chat bool) (*answer, error) {
+// startGeneration runs the request on a goroutine of the pool. It fails if the pool
+// has none left.
+func (s *Server) startGeneration(r request, d dispatch.Request, chat bool) (*generation, error) {
 	ctx, cancel := context.WithDeadline(r.ctx, r.deadline)
-	a := &answer{
+	g := &generation{
 		request: d,
-		pieces:  make(chan engine.Piece, pieceBuffer),
-		ended:   make(chan struct{}),
+		pieces:  make(chan engine.Piece, pieceBufferSize),
+		done:    make(chan struct{}),
 		cancel:  cancel,
 		chat:    chat,
 		created: r.arrival.Unix(),
 	}
-	err := s.traffic.Submit(func() {
+	err := s.pool.Submit(func() {
 		defer cancel()
-		defer close(a.ended)
+		defer close(g.done)
 		ctx, span := telemetry.Span(ctx, "request", attribute.String("request", d.ID),
 			attribute.String("workspace", d.Workspace.Workspace), attribute.Int("tokens", d.Tokens))
-		a.outcome, a.err = s.dispatch.Run(ctx, d, func(p engine.Piece) error {
+		g.outcome, g.err = s.dispatch.Run(ctx, d, func(p engine.Piece) error {
 			select {
-			case a.pieces <- p:
+			case g.pieces <- p:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		})
-		telemetry.End(span, a.err)
-		s.count(d, a.outcome, a.err)
+		telemetry.End(span, g.err)
+		s.recordMetrics(d, g.outcome, g.err)
 	})
 	if err != nil {
 		cancel()
-		return nil, tooBusy(err)
+		return nil, overloaded(err)
 	}
-	return a, nil
+	return g, nil
 }
 
-func tooBusy(cause error) error {
+func overloaded(cause error) error {
 	return fault.New(fault.Overloaded, "this entry host has too many requests in progress",
 		"ask again; the balancer may pick another entry host").WithRetryAfter(time.Second).WithCause(cause)
 }
 
-func (s *Server) count(d dispatch.Request, o dispatch.Outcome, err error) {
+func (s *Server) recordMetrics(d dispatch.Request, o dispatch.Outcome, err error) {
 	result := "ok"
 	if err != nil {
 		result = string(fault.From(err).Kind())
@@ -200,46 +202,46 @@
 	}
 }
 
-// collect waits for the whole answer.
-func (a *answer) collect() (completion, error) {
+// collect waits for the end of the generation and returns the complete response.
+func (g *generation) collect() (completion, error) {
 	var b strings.Builder
 	for {
 		select {
-		case p := <-a.pieces:
+		case p := <-g.pieces:
 			b.WriteString(p.Text)
-		case <-a.ended:
-			for len(a.pieces) > 0 {
-				p := <-a.pieces
+		case <-g.done:
+			for len(g.pieces) > 0 {
+				p := <-g.pieces
 				b.WriteString(p.Text)
 			}
-			if a.err != nil {
-				return completion{}, a.err
+			if g.err != nil {
+				return completion{}, g.err
 			}
-			return a.whole(b.String()), nil
+			return g.fullResponse(b.String()), nil
 		}
 	}
 }
 
-// completeOnce runs a prompt that may not be repeated, by the caller's key.
-// The answer is not streamed: it is recorded whole, for a repeat of the
-// request.
+// completeOnce runs a prompt that must not be executed more than once, identified by
+// the caller's idempotency key. The answer is not streamed but stored as a whole, and
+// returned again if the request is repeated.
 func (s *Server) completeOnce(c *fasthttp.RequestCtx, r request, d dispatch.Request, chat, old bool) error {
 	ctx, cancel := context.WithDeadline(r.ctx, d.Deadline)
 	defer cancel()
 	key := string(c.Request.Header.Peek(headerKey))
 	got, err := s.once.Run(ctx, r.workspace.Workspace, key, func(ctx context.Context) (claim.Answer, error) {
 		if old {
-			return s.onceOnOldSite(ctx, d)
+			return s.sendOnceToOldSite(ctx, d)
 		}
-		a, err := s.start(r, d, chat)
+		g, err := s.startGeneration(r, d, chat)
 		if err != nil {
-			return claim.Answer{}, notSent(err)
+			return claim.Answer{}, markNotSent(err)
 		}
-		whole, err := a.collect()
+		full, err := g.collect()
 		if err != nil {
-			return claim.Answer{}, notSent(err)
+			return claim.Answer{}, markNotSent(err)
 		}
-		b, err := json.Marshal(whole)
+		b, err := json.Marshal(full)
 		return claim.Answer{Status: fasthttp.StatusOK, ContentType: "application/json", Body: b}, err
 	})
 	if err != nil {
--- a/daemon/callers/fuzz_test.go
+++ b/daemon/callers/fuzz_test.go
@@ -9,13 +9,13 @@
 func FuzzResumeOffset(f *testing.F) {
 	f.Add([]byte("17"), 100)
 	f.Add([]byte(" -1 "), 5)
-	f.Fuzz(func(t *testing.T, id []byte, most int) {
-		n, err := resumeOffset(id, most)
+	f.Fuzz(func(t *testing.T, id []byte, maxTokens int) {
+		n, err := resumeOffset(id, maxTokens)
 		switch {
 		case err != nil && fault.From(err).Kind() != fault.BadRequest:
-			t.Errorf("bad input gave %v", err)
-		case err == nil && len(id) > 0 && (n < 0 || n > most && most >= 0):
-			t.Errorf("%q gave the offset %d of %d", id, n, most)
+			t.Errorf("bad input gave %v, want a fault of kind BadRequest", err)
+		case err == nil && len(id) > 0 && (n < 0 || n > maxTokens && maxTokens >= 0):
+			t.Errorf("%q gave the offset %d of %d", id, n, maxTokens)
 		}
 	})
 }
--- a/daemon/callers/listener.go
+++ b/daemon/callers/listener.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// writeStall is how long a caller may take no byte of its answer before the
-// connection is closed, so that a dead caller holds nothing for good.
-const writeStall = 30 * time.Second
+// writeTimeout bounds each write to a caller's connection. After that the connection
+// is closed, so that a caller that has stopped reading can't occupy resources
+// forever.
+const writeTimeout = 30 * time.Second
 
 type (
-	// stallListener accepts connections whose writes end in time.
-	stallListener struct{ net.Listener }
+	// timeoutListener accepts connections with a time limit on each write.
+	timeoutListener struct{ net.Listener }
 
-	stallConn struct{ net.Conn }
+	timeoutConn struct{ net.Conn }
 )
 
 // Accept implements net.Listener.
-func (l stallListener) Accept() (net.Conn, error) {
+func (l timeoutListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return stallConn{c}, nil
+	return timeoutConn{c}, nil
 }
 
-// Write waits at most the stall time.
-func (c stallConn) Write(b []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(writeStall)); err != nil {
+// Write implements net.Conn. It fails after writeTimeout.
+func (c timeoutConn) Write(b []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
--- a/daemon/callers/oldsite.go
+++ b/daemon/callers/oldsite.go
@@ -21,12 +21,12 @@
 	"slipcrank.example/daemon/dispatch"
 )
 
-// lineBufferCount is how many lines of the old site's stream a slow caller may
-// lag behind.
-const lineBufferCount = 64
+// lineBufferSize is the number of lines of the old site's stream by which a slow
+// caller may lag behind.
+const lineBufferSize = 64
 
-// stableKey returns the key by which a request chooses its site: one that the
-// caller gives, or else the body itself, so that a repeat lands on the same
+// stableKey returns the key by which the site of a request is chosen: a key given by
+// the caller, or else a hash of the body, so that a repeated request goes to the same
 // site.
 func stableKey(c *fasthttp.RequestCtx) string {
 	for _, h := range []string{headerStable, headerKey} {
@@ -37,8 +37,9 @@
 	return strconv.FormatUint(xxhash.Sum64(c.PostBody()), 16)
 }
 
-// onOldSite reports whether the old site serves the request. Only a workspace
-// that is being moved needs the key, for which a body may have to be hashed.
+// onOldSite reports whether the old site serves the request. The key, which may
+// require hashing the body, is computed only while the workspace is being moved
+// between the sites.
 func onOldSite(c *fasthttp.RequestCtx, r request) bool {
 	if s, ok := crossover.Settled(r.workspace); ok {
 		return s == crossover.OldSite
@@ -46,7 +47,7 @@
 	return crossover.Choose(r.workspace, stableKey(c)) == crossover.OldSite
 }
 
-// oldSiteAddr returns a front of the old site.
+// oldSiteAddr returns the address of a random host of the old site.
 func (s *Server) oldSiteAddr() (string, error) {
 	hs := s.loop.View().OldSite()
 	if len(hs) == 0 {
@@ -56,8 +57,9 @@
 	return hs[rand.IntN(len(hs))].Addr, nil
 }
 
-// passOldSite passes a completion to the old site and its answer back.
-func (s *Server) passOldSite(c *fasthttp.RequestCtx, r request, d dispatch.Request, stream bool) (bool, error) {
+// proxyToOldSite forwards a completion to the old site and relays the answer to the
+// caller.
+func (s *Server) proxyToOldSite(c *fasthttp.RequestCtx, r request, d dispatch.Request, stream bool) (bool, error) {
 	addr, err := s.oldSiteAddr()
 	if err != nil {
 		return false, err
@@ -65,10 +67,10 @@
 	s.metrics.Count("old_site_requests_total", 1, "workspace", r.workspace.Workspace)
 	ctx, cancel := context.WithDeadline(r.ctx, r.deadline)
 	if stream {
-		return true, s.streamOldSite(ctx, cancel, c, addr, d)
+		return true, s.proxyStreamToOldSite(ctx, cancel, c, addr, d)
 	}
 	defer cancel()
-	a, err := s.old.Send(ctx, addr, d.Path, d.Body)
+	a, err := s.oldSite.Send(ctx, addr, d.Path, d.Body)
 	if err != nil {
 		return false, oldSiteFault(ctx, err)
 	}
@@ -78,13 +80,13 @@
 	return false, nil
 }
 
-// streamOldSite passes a streamed answer on, line by line. If the old site
-// breaks it off, the caller gets an error event and no end marker.
-func (s *Server) streamOldSite(ctx context.Context, cancel context.CancelFunc, c *fasthttp.RequestCtx, addr string, d dispatch.Request) error {
-	lines := make(chan []byte, lineBufferCount)
+// proxyStreamToOldSite relays a streamed answer line by line. If the old site breaks
+// off the stream, the caller gets an error event and no end marker.
+func (s *Server) proxyStreamToOldSite(ctx context.Context, cancel context.CancelFunc, c *fasthttp.RequestCtx, addr string, d dispatch.Request) error {
+	lines := make(chan []byte, lineBufferSize)
 	ended := make(chan error, 1)
-	err := s.traffic.Submit(func() {
-		ended <- s.old.Stream(ctx, addr, d.Path, d.Body, func(l []byte) error {
+	err := s.pool.Submit(func() {
+		ended <- s.oldSite.Stream(ctx, addr, d.Path, d.Body, func(l []byte) error {
 			select {
 			case lines <- append([]byte(nil), l...):
 				return nil
@@ -96,12 +98,12 @@
 	})
 	if err != nil {
 		cancel()
-		s.open.Add(-1)
-		return tooBusy(err)
+		s.inProgress.Add(-1)
+		return overloaded(err)
 	}
 	c.SetContentType("text/event-stream")
 	c.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer s.open.Add(-1)
+		defer s.inProgress.Add(-1)
 		defer cancel()
 		if !writeLines(w, lines) {
 			return
@@ -114,10 +116,10 @@
 	return nil
 }
 
-// writeLines writes lines until there are no more, and reports whether the
-// caller is still there.
+// writeLines writes lines until the channel is closed, and keepalive comments in
+// between. It returns false if a write failed because the caller has disconnected.
 func writeLines(w *bufio.Writer, lines <-chan []byte) bool {
-	t := time.NewTicker(beat)
+	t := time.NewTicker(keepaliveInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -127,7 +129,7 @@
 			}
 			_, _ = w.Write(l)
 			if len(l) > 1 {
-				continue // an event ends with an empty line
+				continue // flush only after the empty line that ends an event
 			}
 		case <-t.C:
 			_, _ = w.WriteString(": waiting\n\n")
@@ -138,14 +140,15 @@
 	}
 }
 
-// onceOnOldSite sends a prompt that may not be repeated to the old site. Its
-// claim is the same row as on the new site, so that a key runs on one only.
-func (s *Server) onceOnOldSite(ctx context.Context, d dispatch.Request) (claim.Answer, error) {
+// sendOnceToOldSite sends a prompt that must not be executed more than once to the
+// old site. The claim uses the same row as on the new site, so that a key is executed
+// on only one of the sites.
+func (s *Server) sendOnceToOldSite(ctx context.Context, d dispatch.Request) (claim.Answer, error) {
 	addr, err := s.oldSiteAddr()
 	if err != nil {
 		return claim.Answer{}, errors.Mark(err, calls.ErrNotSent)
 	}
-	a, err := s.old.Send(ctx, addr, d.Path, d.Body)
+	a, err := s.oldSite.Send(ctx, addr, d.Path, d.Body)
 	if errors.Is(err, oldsite.ErrNotSent) {
 		return claim.Answer{}, errors.Mark(err, calls.ErrNotSent)
 	}
--- a/daemon/callers/respond.go
+++ b/daemon/callers/respond.go
@@ -36,8 +36,8 @@
 	}
 )
 
-// fail answers a fault at once.
-func (s *Server) fail(c *fasthttp.RequestCtx, id string, f *fault.Error) {
+// respondFault counts a fault and writes it as the response.
+func (s *Server) respondFault(c *fasthttp.RequestCtx, id string, f *fault.Error) {
 	s.metrics.Count("faults_total", 1, "kind", string(f.Kind()))
 	writeFault(c, id, f)
 }
@@ -63,14 +63,14 @@
 
 func writeJSON(c *fasthttp.RequestCtx, v any) {
 	b, err := json.Marshal(v)
-	if err != nil { // all types here can be encoded
+	if err != nil { // can't happen: all types used here can be encoded
 		b = []byte(`{"error":{"kind":"internal"}}`)
 	}
 	c.SetContentType("application/json")
 	c.SetBody(b)
 }
 
-func (s *Server) models(c *fasthttp.RequestCtx, r request) error {
+func (s *Server) serveModels(c *fasthttp.RequestCtx, r request) error {
 	l := modelList{Object: "list", Data: []model{}}
 	for _, m := range r.workspace.Models {
 		l.Data = append(l.Data, model{ID: m.Name, Object: "model", Version: m.Version})
--- a/daemon/callers/server.go
+++ b/daemon/callers/server.go
@@ -1,12 +1,14 @@
-// Package callers is the interface that callers' clients speak: completions
-// and chat completions with server-sent events, the list of models, calls to
-// plain services, and health and readiness for the balancer.
+// Package callers implements the HTTP interface for callers: completions and chat
+// completions with server-sent events, the list of models, calls to plain services,
+// and health and readiness checks for the load balancer.
 //
 // # Usage
 //
-//	s := callers.New(loop, dispatcher, caller, callers.WithLimits(l))
-//	s.Serve(ctx, listener)
-//	s.Drain(ctx, drain)   // a planned stop
+//	s, err := callers.New(loop, dispatcher, caller, callers.WithLimits(l))
+//	s.Serve(listener)
+//	s.Unready()    // a planned stop: the load balancer sends no more requests
+//	s.Refuse()
+//	err = s.Close(ctx)
 package callers
 
 import (
@@ -37,7 +39,7 @@
 	"slipcrank.example/daemon/telemetry"
 )
 
-// Header names of callers' requests and of the answers to them.
+// Header names of callers' requests and of the responses to them.
 const (
 	headerRequest  = "X-Request-Id"
 	headerDeadline = "X-Deadline-Ms"
@@ -49,29 +51,29 @@
 	modelsPath    = "/v1/models"
 )
 
-var requestID = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 type (
-	// Server answers callers.
+	// Server serves the requests of callers.
 	Server struct {
-		loop     *control.Loop
-		dispatch *dispatch.Dispatcher
-		calls    *calls.Caller
-		once     *calls.Once
-		old      *oldsite.Client
-		metrics  *telemetry.Metrics
-		limits   settings.Limits
-		traffic  *ants.Pool
-		http     *fasthttp.Server
-		open     atomic.Int64
-		unready  atomic.Bool
-		closed   atomic.Bool
+		loop       *control.Loop
+		dispatch   *dispatch.Dispatcher
+		calls      *calls.Caller
+		once       *calls.Once
+		oldSite    *oldsite.Client
+		metrics    *telemetry.Metrics
+		limits     settings.Limits
+		pool       *ants.Pool
+		http       *fasthttp.Server
+		inProgress atomic.Int64
+		unready    atomic.Bool
+		refusing   atomic.Bool
 	}
 
-	// Option changes a server under construction.
+	// Option configures a server in [New].
 	Option func(*Server)
 
-	// request is what every request has.
+	// request holds the properties common to all authenticated requests.
 	request struct {
 		ctx       context.Context
 		id        string
@@ -81,19 +83,20 @@
 	}
 )
 
-// WithLimits sets the bounds of what is taken in.
+// WithLimits sets the limits on requests and their bodies.
 func WithLimits(l settings.Limits) Option { return func(s *Server) { s.limits = l } }
 
-// WithMetrics sets where the server counts.
+// WithMetrics sets the metrics that the server updates.
 func WithMetrics(m *telemetry.Metrics) Option { return func(s *Server) { s.metrics = m } }
 
-// WithOnce sets the runner of prompts that may not be repeated.
+// WithOnce sets the runner of prompts that must not be executed more than once.
 func WithOnce(o *calls.Once) Option { return func(s *Server) { s.once = o } }
 
 // WithOldSite sets the client of the old site.
-func WithOldSite(c *oldsite.Client) Option { return func(s *Server) { s.old = c } }
+func WithOldSite(c *oldsite.Client) Option { return func(s *Server) { s.oldSite = c } }
 
-// New returns a server.
+// New returns a server that reads the daemon's control state from l, runs generations
+// through d and calls to plain services through c.
 func New(l *control.Loop, d *dispatch.Dispatcher, c *calls.Caller, os ...Option) (*Server, error) {
 	s := &Server{
 		loop:     l,
@@ -107,52 +110,52 @@
 	}
 	p, err := ants.NewPool(s.limits.Requests, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, errors.Wrap(err, "make the pool of requests")
+		return nil, errors.Wrap(err, "create the pool of requests")
 	}
-	s.traffic = p
+	s.pool = p
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		MaxRequestBodySize:    s.limits.BodyBytes,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
-		ErrorHandler:          badRequest,
+		ErrorHandler:          serveProtocolError,
 		ReadTimeout:           time.Minute,
 		IdleTimeout:           2 * time.Minute,
 	}
 	return s, nil
 }
 
-// Serve answers on l until [Server.Close].
+// Serve serves connections from l until [Server.Close]. It does not block.
 func (s *Server) Serve(l net.Listener) {
-	go func() { _ = s.http.Serve(stallListener{l}) }()
+	go func() { _ = s.http.Serve(timeoutListener{l}) }()
 }
 
 // Close stops listening and closes idle connections.
 func (s *Server) Close(ctx context.Context) error {
-	defer s.traffic.Release()
+	defer s.pool.Release()
 	return s.http.ShutdownWithContext(ctx)
 }
 
 // InProgress returns the number of requests in progress.
-func (s *Server) InProgress() int64 { return s.open.Load() }
+func (s *Server) InProgress() int64 { return s.inProgress.Load() }
 
-// Unready makes the readiness check fail, so that the balancer sends no more.
-// Requests that still come are served.
+// Unready makes the readiness check fail, so that the load balancer sends no more
+// requests. Requests that still arrive are served.
 func (s *Server) Unready() { s.unready.Store(true) }
 
-// Refuse makes the server refuse new requests. Those in progress run on.
-func (s *Server) Refuse() { s.closed.Store(true) }
+// Refuse makes the server refuse new requests. Requests in progress are completed.
+func (s *Server) Refuse() { s.refusing.Store(true) }
 
 func (s *Server) handle(c *fasthttp.RequestCtx) {
-	s.open.Add(1)
+	s.inProgress.Add(1)
 	streamed := false
 	defer func() {
 		if r := recover(); r != nil {
 			event.HandlerPanic.Error(errors.Newf("%v", r), "path", string(c.Path()))
-			s.fail(c, "", fault.From(errors.Newf("%v", r)))
+			s.respondFault(c, "", fault.From(errors.Newf("%v", r)))
 		}
 		if !streamed {
-			s.open.Add(-1)
+			s.inProgress.Add(-1)
 		}
 	}()
 	path := string(c.Path())
@@ -160,28 +163,29 @@
 	case path == "/healthz":
 		c.SetBodyString("ok\n")
 	case path == "/readyz":
-		s.ready(c)
-	case s.closed.Load():
-		s.fail(c, "", fault.New(fault.Draining, "this entry host is stopping",
+		s.serveReadiness(c)
+	case s.refusing.Load():
+		s.respondFault(c, "", fault.New(fault.Draining, "this entry host is stopping",
 			"ask again; the balancer will pick another").WithRetryAfter(time.Second))
 	case path == modelsPath:
-		s.with(c, s.models)
+		s.serveAuthenticated(c, s.serveModels)
 	case path == completionsPath || path == chatPath:
-		s.with(c, func(c *fasthttp.RequestCtx, r request) error {
+		s.serveAuthenticated(c, func(c *fasthttp.RequestCtx, r request) error {
 			var err error
-			streamed, err = s.complete(c, r)
+			streamed, err = s.serveCompletion(c, r)
 			return err
 		})
 	case strings.HasPrefix(path, servicePrefix+"/"):
-		s.with(c, s.service)
+		s.serveAuthenticated(c, s.serveCall)
 	default:
-		s.fail(c, "", fault.Newf(fault.NotFound, "see docs/OPERATIONS.md for the paths", "there is no path %s", path))
+		s.respondFault(c, "", fault.Newf(fault.NotFound, "see docs/OPERATIONS.md for the paths", "there is no path %s", path))
 	}
 }
 
-// with reads what every request has, runs f, and answers its error.
-func (s *Server) with(c *fasthttp.RequestCtx, f func(*fasthttp.RequestCtx, request) error) {
-	r, err := s.read(c)
+// serveAuthenticated parses the common properties of a request, calls f, and responds
+// with the fault if one of them fails.
+func (s *Server) serveAuthenticated(c *fasthttp.RequestCtx, f func(*fasthttp.RequestCtx, request) error) {
+	r, err := s.parseRequest(c)
 	c.Response.Header.Set(headerRequest, r.id)
 	if err == nil {
 		err = f(c, r)
@@ -191,14 +195,15 @@
 	}
 	x := fault.From(err)
 	event.RequestFailed.Info("request", r.id, "workspace", r.workspace.Workspace, "kind", x.Kind(), "cause", x)
-	s.fail(c, r.id, x)
+	s.respondFault(c, r.id, x)
 }
 
-// read checks the credential and works out the request's id and deadline.
-func (s *Server) read(c *fasthttp.RequestCtx) (request, error) {
+// parseRequest authorizes the caller's credential and determines the request's ID and
+// deadline.
+func (s *Server) parseRequest(c *fasthttp.RequestCtx) (request, error) {
 	h := &c.Request.Header
 	r := request{id: string(h.Peek(headerRequest)), arrival: time.Now()}
-	if !requestID.MatchString(r.id) {
+	if !requestIDPattern.MatchString(r.id) {
 		r.id = uuid.NewString()
 	}
 	r.ctx = otel.GetTextMapPropagator().Extract(context.Background(), web.HeaderCarrier{Header: h})
@@ -233,7 +238,7 @@
 	return r, nil
 }
 
-func (s *Server) ready(c *fasthttp.RequestCtx) {
+func (s *Server) serveReadiness(c *fasthttp.RequestCtx) {
 	v := s.loop.View()
 	switch {
 	case s.unready.Load() || v.Draining:
@@ -245,7 +250,7 @@
 	}
 }
 
-func badRequest(c *fasthttp.RequestCtx, err error) {
+func serveProtocolError(c *fasthttp.RequestCtx, err error) {
 	f := fault.New(fault.BadRequest, "the HTTP request can't be read", "send well-formed HTTP/1.1").WithCause(err)
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		f = fault.New(fault.TooLarge, "the body is over the limit of this entry host",
--- a/daemon/callers/service.go
+++ b/daemon/callers/service.go
@@ -9,8 +9,8 @@
 	"slipcrank.example/daemon/calls"
 )
 
-// service sends a call to a plain service, as the workspace's template allows.
-func (s *Server) service(c *fasthttp.RequestCtx, r request) error {
+// serveCall forwards a call to a plain service if the workspace's template allows it.
+func (s *Server) serveCall(c *fasthttp.RequestCtx, r request) error {
 	path := strings.TrimPrefix(string(c.Path()), servicePrefix)
 	x, ok := r.workspace.Call(path)
 	if !ok {
--- a/daemon/callers/stream.go
+++ b/daemon/callers/stream.go
@@ -15,9 +15,10 @@
 	"slipcrank.example/daemon/calls"
 )
 
-// beat is how often a comment is written while no token flows: it shows the
-// caller that the stream lives, and shows us when the caller has gone.
-const beat = time.Second
+// keepaliveInterval is the interval of the comments written to a stream. They show
+// the caller that the stream is alive even while there are no tokens, and a failing
+// write reveals a caller that has disconnected.
+const keepaliveInterval = time.Second
 
 type (
 	completion struct {
@@ -49,48 +50,49 @@
 	}
 )
 
-// streamed writes an answer as server-sent events. A failure within the first
-// moments still gets its own status.
-func (s *Server) streamed(c *fasthttp.RequestCtx, a *answer) (bool, error) {
-	early := time.NewTimer(earlyTime)
+// serveStream writes a generation as server-sent events. If it fails within
+// earlyFailureWindow and before its first token, the failure is returned, so that the
+// response has its status.
+func (s *Server) serveStream(c *fasthttp.RequestCtx, g *generation) (bool, error) {
+	early := time.NewTimer(earlyFailureWindow)
 	defer early.Stop()
 	var first *engine.Piece
 	select {
-	case p := <-a.pieces:
+	case p := <-g.pieces:
 		first = &p
-	case <-a.ended:
-		if a.err != nil {
-			return false, a.err
+	case <-g.done:
+		if g.err != nil {
+			return false, g.err
 		}
 	case <-early.C:
 	}
 	c.SetContentType("text/event-stream")
 	c.Response.Header.Set(fasthttp.HeaderCacheControl, "no-store")
 	c.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer s.open.Add(-1)
-		defer a.cancel() // a caller that has gone frees the engine at once
-		a.write(w, first)
+		defer s.inProgress.Add(-1)
+		defer g.cancel() // frees the engine at once if the caller has disconnected
+		g.write(w, first)
 	})
 	return true, nil
 }
 
-// write writes pieces until the answer ends or the caller has gone.
-func (a *answer) write(w *bufio.Writer, first *engine.Piece) {
-	if first != nil && a.writePiece(w, *first) != nil {
+// write writes pieces until the generation ends or the caller has disconnected.
+func (g *generation) write(w *bufio.Writer, first *engine.Piece) {
+	if first != nil && g.writePiece(w, *first) != nil {
 		return
 	}
-	t := time.NewTicker(beat)
+	t := time.NewTicker(keepaliveInterval)
 	defer t.Stop()
 	for {
 		var err error
 		select {
-		case p := <-a.pieces:
-			err = a.writePiece(w, p)
+		case p := <-g.pieces:
+			err = g.writePiece(w, p)
 		case <-t.C:
 			_, _ = w.WriteString(": waiting\n\n")
 			err = w.Flush()
-		case <-a.ended:
-			a.writeEnd(w)
+		case <-g.done:
+			g.writeEnd(w)
 			return
 		}
 		if err != nil {
@@ -99,31 +101,31 @@
 	}
 }
 
-// writeEnd writes what is left, then the end marker or the error.
-func (a *answer) writeEnd(w *bufio.Writer) {
-	for len(a.pieces) > 0 {
-		if a.writePiece(w, <-a.pieces) != nil {
+// writeEnd writes the remaining pieces, then the end marker or the error.
+func (g *generation) writeEnd(w *bufio.Writer) {
+	for len(g.pieces) > 0 {
+		if g.writePiece(w, <-g.pieces) != nil {
 			return
 		}
 	}
-	if a.err != nil {
+	if g.err != nil {
 		_, _ = w.WriteString("event: error\n")
-		_ = writeEvent(w, faultBody(a.request.ID, fault.From(a.err)))
+		_ = writeEvent(w, faultBody(g.request.ID, fault.From(g.err)))
 		return
 	}
-	last := a.chunk("")
-	last.Choices[0].Finish = &a.outcome.Finish
-	last.Usage = a.usage()
+	last := g.chunk("")
+	last.Choices[0].Finish = &g.outcome.Finish
+	last.Usage = g.usage()
 	_ = writeEvent(w, last)
 	_, _ = w.WriteString("data: [DONE]\n\n")
 	_ = w.Flush()
 }
 
-// writePiece writes one token. The event's id lets a caller whose connection
-// broke go on from there, at any entry host.
-func (a *answer) writePiece(w *bufio.Writer, p engine.Piece) error {
+// writePiece writes one token. With the event's ID, a caller whose connection broke
+// can resume the stream after this token, at any entry host.
+func (g *generation) writePiece(w *bufio.Writer, p engine.Piece) error {
 	_, _ = w.WriteString("id: " + strconv.Itoa(p.Offset+1) + "\n")
-	return writeEvent(w, a.chunk(p.Text))
+	return writeEvent(w, g.chunk(p.Text))
 }
 
 func writeEvent(w *bufio.Writer, v any) error {
@@ -137,14 +139,14 @@
 	return w.Flush()
 }
 
-func (a *answer) chunk(text string) completion {
+func (g *generation) chunk(text string) completion {
 	x := completion{
-		ID:      a.request.ID,
+		ID:      g.request.ID,
 		Object:  "text_completion",
-		Created: a.created,
-		Model:   a.request.Model.Name,
+		Created: g.created,
+		Model:   g.request.Model.Name,
 	}
-	if a.chat {
+	if g.chat {
 		x.Object = "chat.completion.chunk"
 		x.Choices = []choice{{Delta: &chatDelta{Content: text}}}
 		return x
@@ -153,24 +155,24 @@
 	return x
 }
 
-func (a *answer) whole(text string) completion {
-	x := a.chunk(text)
-	if a.chat {
+func (g *generation) fullResponse(text string) completion {
+	x := g.chunk(text)
+	if g.chat {
 		x.Object = "chat.completion"
 		x.Choices = []choice{{Message: &chatMessage{Role: "assistant", Content: text}}}
 	}
-	x.Choices[0].Finish = &a.outcome.Finish
-	x.Usage = a.usage()
+	x.Choices[0].Finish = &g.outcome.Finish
+	x.Usage = g.usage()
 	return x
 }
 
-func (a *answer) usage() *usage {
-	o := a.outcome
+func (g *generation) usage() *usage {
+	o := g.outcome
 	return &usage{Prompt: o.PromptTokens, Completion: o.Tokens, Total: o.PromptTokens + o.Tokens, Cached: o.CachedTokens}
 }
 
-// resumeOffset reads the id of the last event that a caller has seen. Without
-// one the answer begins at its start.
+// resumeOffset parses the ID of the last event that a caller has received, which is
+// the offset of the first token to send. Without an ID it is 0.
 func resumeOffset(id []byte, maxTokens int) (int, error) {
 	id = bytes.TrimSpace(id)
 	if len(id) == 0 {
@@ -184,9 +186,9 @@
 	return n, nil
 }
 
-// notSent marks the faults after which a prompt that may not be repeated has
-// certainly not run. An attempt that may have run ends in one of the others.
-func notSent(err error) error {
+// markNotSent marks an error with [calls.ErrNotSent] if the prompt has certainly not
+// been executed. The other faults may end an attempt that was executed.
+func markNotSent(err error) error {
 	switch fault.From(err).Kind() {
 	case fault.OutcomeUnknown, fault.DeadlineExpired, fault.Internal:
 		return err
