--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -83,7 +83,7 @@
 		board    *schedule.Scheduler
 		pool     *upstream.Pool
 		gateway  *gateway.Gateway
-		news     *news.News
+		news     *news.Exchange
 		// quarantine is what is known of requests under which servers ended.
 		quarantine *quarantine.Registry
 		// notices are what servers have said of themselves.
@@ -141,27 +141,27 @@
 	e.watcher = watch.New(p.Source, p.Tables, p.Decoders, e.log, e.metrics, e.setHosts)
 	e.watcher.SetClock(e.clock)
 	e.relays, e.relay = relay.NewClient(e.watcher, e.log), relay.NewServer(e.watcher)
-	e.grants = grants.New(s.Host, s.Hall, e.notices, n.Ask, e.clock.Now)
+	e.grants = grants.New(s.Host, s.Hall, e.notices, n.SendGrantRequest, e.clock.Now)
 	budget := limit.NewRetryWindow(s.Bounds.Retries.Span, s.Bounds.Retries.Share*retryPart, e.retrySlack)
 	e.gateway = gateway.New(p.Dialect, e.state, e.pool, e.board, budget, e.log, e.metrics,
 		gateway.WithHall(s.Hall),
 		gateway.WithClock(e.clock),
 		gateway.WithMemory(memory.New(p.Orders, e.log, memory.WithGate(e.takesOrder))),
 		gateway.WithProof(gateway.Proof{Keys: e.keysTrusted, Config: e.configCurrent, Age: e.proofAge, Servers: e.serversAge}),
-		gateway.WithNews(n.Placed, n.Started, n.Ended),
+		gateway.WithNews(n.SendPlacement, n.SendStart, n.SendEnd),
 		gateway.WithQuarantine(e.quarantine, e.suspectsChanged),
 		gateway.WithHosts(e.otherHosts),
-		gateway.WithEvidence(func(server string) { n.Failed(e.number, server) }),
+		gateway.WithEvidence(func(server string) { n.SendFailure(e.number, server) }),
 		gateway.WithGrants(e.grants.Take),
 		gateway.WithNotices(e.notices, gateway.Tell{
-			Limit:   func(server string, l notice.Limit) { n.Limit(e.number, server, l) },
-			Leaving: func(server string) { n.Leaves(e.number, server) },
+			Limit:   func(server string, l notice.Limit) { n.SendLimit(e.number, server, l) },
+			Leaving: func(server string) { n.SendLeaving(e.number, server) },
 		}),
 	)
-	n.OnSuspects(e.hearSuspects)
-	n.OnNotices(news.Notices{
-		Ask: e.grants.Answer, Reply: e.grants.Answered, Limit: e.hearLimit, Leaves: e.hearLeaving,
-		Placed: e.gateway.HearPlaced,
+	n.SetSuspectsHandler(e.hearSuspects)
+	n.SetNoticeHandlers(news.NoticeHandlers{
+		GrantRequest: e.grants.Answer, GrantReply: e.grants.Answered, Limit: e.hearLimit, Leaving: e.hearLeaving,
+		Placement: e.gateway.HearPlaced,
 	})
 	return e, nil
 }
@@ -290,7 +290,7 @@
 			e.noteProof()
 			e.chooseReaders(&r)
 			routes = e.routeNews(chooser, routes)
-			e.news.Alive(e.number)
+			e.news.SendHeartbeat(e.number)
 			e.tellSuspects(n)
 			if n++; n%sweepEvery == 0 {
 				servers := e.watcher.State().Servers
--- a/daemon/entry/neighbors.go
+++ b/daemon/entry/neighbors.go
@@ -112,7 +112,7 @@
 	now := e.clock.Now()
 	r := c.Choose(now, e.neighbors.Load().cell, broadcast.Liveness{
 		Alive:        func(number uint32) bool { return e.board.HostAlive(number, now) },
-		LastReceived: e.news.Heard,
+		LastReceived: e.news.LastReceived,
 	})
 	e.news.SetRoutes(r)
 	if r.Forwarder != old.Forwarder || !slices.Equal(r.Remote, old.Remote) {
--- a/daemon/entry/suspects.go
+++ b/daemon/entry/suspects.go
@@ -64,7 +64,7 @@
 			rs = append(rs, t.Record)
 		}
 	}
-	e.news.Suspects(e.number, rs)
+	e.news.SendSuspects(e.number, rs)
 }
 
 // lasts reports whether others are told of a suspect also later.
--- a/daemon/news/forward.go
+++ b/daemon/news/forward.go
@@ -54,7 +54,7 @@
 )
 
 // pass gathers messages for whom they have to reach, and sends them on soon.
-func (n *News) pass(d datagram) {
+func (n *Exchange) pass(d datagram) {
 	if d.Reach == toNobody {
 		return
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (n *News) gather(waiting, ms []cbor.RawMessage) []cbor.RawMessage {
+func (n *Exchange) gather(waiting, ms []cbor.RawMessage) []cbor.RawMessage {
 	room := max(maxGathered-len(waiting), 0)
 	if len(ms) > room {
 		n.log.Write(event.NewsLost, slog.String("doing", "pass on"), slog.Int("messages", len(ms)-room))
@@ -84,7 +84,7 @@
 }
 
 // flush sends what has been gathered.
-func (n *News) flush(urgent bool) {
+func (n *Exchange) flush(urgent bool) {
 	g := &n.gathered
 	g.mu.Lock()
 	hall, remote := g.hall, g.remote
@@ -97,7 +97,7 @@
 }
 
 // transmit sends messages to hosts, in as few datagrams as they fit into.
-func (n *News) transmit(d datagram, hosts []netip.AddrPort) {
+func (n *Exchange) transmit(d datagram, hosts []netip.AddrPort) {
 	for ms := d.Messages; len(ms) > 0 && len(hosts) > 0; {
 		count, size := 0, batchHead
 		for count < len(ms) && (count == 0 || size+len(ms[count]) <= maxDatagram) {
@@ -118,14 +118,14 @@
 }
 
 // note notes that a datagram came from an address.
-func (n *News) note(from netip.AddrPort) {
+func (n *Exchange) note(from netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heard[from] = n.now()
 }
 
-// Heard returns when a datagram came from an address last, zero if never.
-func (n *News) Heard(from netip.AddrPort) time.Duration {
+// LastReceived returns when a datagram came from an address last, zero if never.
+func (n *Exchange) LastReceived(from netip.AddrPort) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.heard[from]
--- a/daemon/news/forward_test.go
+++ b/daemon/news/forward_test.go
@@ -32,15 +32,15 @@
 		}
 	}
 	p := schedule.Placement{ID: schedule.ID{Host: 1, Number: 5}, Lead: "a"}
-	until(t, "each host knows the placement", func() { origin.Placed(p) }, each(1))
-	until(t, "the host that placed it hears its forwarder", func() { origin.Alive(1) }, func() bool { return origin.Heard(nearAddr) > 0 })
+	until(t, "each host knows the placement", func() { origin.SendPlacement(p) }, each(1))
+	until(t, "the host that placed it hears its forwarder", func() { origin.SendHeartbeat(1) }, func() bool { return origin.LastReceived(nearAddr) > 0 })
 	if own.PlacementCount("a") != 0 || own.HostAlive(1, 0) {
 		t.Error("a host takes its own news for another's")
 	}
-	until(t, "each host knows its end", func() { origin.Ended(p.ID) }, each(0))
+	until(t, "each host knows its end", func() { origin.SendEnd(p.ID) }, each(0))
 
-	near.Placed(schedule.Placement{ID: schedule.ID{Host: 2, Number: 1}, Lead: "b"})
-	until(t, "news of a forwarder itself reach the other hall", func() { near.Started(schedule.ID{Host: 2, Number: 1}) }, func() bool { return last.PlacementCount("b") == 1 })
+	near.SendPlacement(schedule.Placement{ID: schedule.ID{Host: 2, Number: 1}, Lead: "b"})
+	until(t, "news of a forwarder itself reach the other hall", func() { near.SendStart(schedule.ID{Host: 2, Number: 1}) }, func() bool { return last.PlacementCount("b") == 1 })
 }
 
 // TestManyMessagesAreSplit has a forwarder pass on more than one datagram holds.
@@ -51,7 +51,7 @@
 	const count = 200
 	until(t, "all placements are heard", func() {
 		for n := range uint32(count) {
-			near.Placed(schedule.Placement{ID: schedule.ID{Host: 1, Number: n}, Lead: "a", Service: "a service of a usual name"})
+			near.SendPlacement(schedule.Placement{ID: schedule.ID{Host: 1, Number: n}, Lead: "a", Service: "a service of a usual name"})
 		}
 	}, func() bool { return board.PlacementCount("a") == count })
 }
--- a/daemon/news/news.go
+++ b/daemon/news/news.go
@@ -66,8 +66,8 @@
 type (
 	kind uint8
 
-	// News sends and receives. It is safe for use by many goroutines.
-	News struct {
+	// Exchange sends and receives. It is safe for use by many goroutines.
+	Exchange struct {
 		conn     *net.UDPConn
 		board    *schedule.Scheduler
 		log      *decision.Log
@@ -76,7 +76,7 @@
 		told     atomic.Int64 // when something was sent last
 		gathered gathered
 		suspects func(host uint32, rs []quarantine.Record)
-		notices  Notices
+		notices  NoticeHandlers
 
 		mu    sync.Mutex
 		heard map[netip.AddrPort]time.Duration
@@ -119,7 +119,7 @@
 )
 
 // Listen opens the socket.
-func Listen(addr string, b *schedule.Scheduler, l *decision.Log, now func() time.Duration) (*News, error) {
+func Listen(addr string, b *schedule.Scheduler, l *decision.Log, now func() time.Duration) (*Exchange, error) {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "address for news")
@@ -132,18 +132,18 @@
 }
 
 // New returns news on an open socket.
-func New(c *net.UDPConn, b *schedule.Scheduler, l *decision.Log, now func() time.Duration) *News {
-	n := &News{
+func New(c *net.UDPConn, b *schedule.Scheduler, l *decision.Log, now func() time.Duration) *Exchange {
+	n := &Exchange{
 		conn: c, board: b, log: l, now: now,
 		heard:    map[netip.AddrPort]time.Duration{},
 		suspects: func(uint32, []quarantine.Record) {},
-		notices: Notices{
-			Ask:   func(uint32, grant.Request) grant.Reply { return grant.Reply{} },
-			Reply: func(uint32, grant.Reply) {},
-			Limit: func(uint32, string, notice.Limit) {},
+		notices: NoticeHandlers{
+			GrantRequest: func(uint32, grant.Request) grant.Reply { return grant.Reply{} },
+			GrantReply:   func(uint32, grant.Reply) {},
+			Limit:        func(uint32, string, notice.Limit) {},
 
-			Leaves: func(uint32, string) {},
-			Placed: func(string) {},
+			Leaving:   func(uint32, string) {},
+			Placement: func(string) {},
 		},
 	}
 	n.routes.Store(&broadcast.Routes{})
@@ -152,7 +152,7 @@
 
 // SetRoutes sets who is told. It is called again and again, and forgets when
 // addresses were heard long ago.
-func (n *News) SetRoutes(r broadcast.Routes) {
+func (n *Exchange) SetRoutes(r broadcast.Routes) {
 	n.routes.Store(&r)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -163,15 +163,15 @@
 	}
 }
 
-// OnSuspects sets who takes in what other hosts tell of suspects. It is called
+// SetSuspectsHandler sets who takes in what other hosts tell of suspects. It is called
 // before Run.
-func (n *News) OnSuspects(f func(host uint32, rs []quarantine.Record)) { n.suspects = f }
+func (n *Exchange) SetSuspectsHandler(f func(host uint32, rs []quarantine.Record)) { n.suspects = f }
 
 // Close ends Run.
-func (n *News) Close() error { return n.conn.Close() }
+func (n *Exchange) Close() error { return n.conn.Close() }
 
-// Placed tells of a new placement.
-func (n *News) Placed(p schedule.Placement) {
+// SendPlacement tells of a new placement.
+func (n *Exchange) SendPlacement(p schedule.Placement) {
 	var shares []share
 	for _, s := range p.MemoryShares {
 		shares = append(shares, share{Server: s.Server, Tokens: s.Tokens})
@@ -185,28 +185,30 @@
 	})
 }
 
-// Started tells that the prompt of a placement has been read.
-func (n *News) Started(id schedule.ID) {
+// SendStart tells that the prompt of a placement has been read.
+func (n *Exchange) SendStart(id schedule.ID) {
 	n.send(message{Kind: started, Host: id.Host, Number: id.Number})
 }
 
-// Ended tells that a placement is over.
-func (n *News) Ended(id schedule.ID) { n.send(message{Kind: ended, Host: id.Host, Number: id.Number}) }
+// SendEnd tells that a placement is over.
+func (n *Exchange) SendEnd(id schedule.ID) {
+	n.send(message{Kind: ended, Host: id.Host, Number: id.Number})
+}
 
-// Failed tells that a server has failed this host.
-func (n *News) Failed(host uint32, server string) {
+// SendFailure tells that a server has failed this host.
+func (n *Exchange) SendFailure(host uint32, server string) {
 	n.send(message{Kind: failed, Host: host, Lead: server})
 }
 
-// Suspects tells of requests under which servers ended, in messages that each fit
+// SendSuspects tells of requests under which servers ended, in messages that each fit
 // into a datagram.
-func (n *News) Suspects(host uint32, rs []quarantine.Record) {
+func (n *Exchange) SendSuspects(host uint32, rs []quarantine.Record) {
 	for part := range slices.Chunk(rs, suspectsPerMessage) {
 		n.send(message{Kind: suspect, Host: host, Suspects: part})
 	}
 }
 
-func (n *News) send(m message) {
+func (n *Exchange) send(m message) {
 	n.told.Store(int64(n.now()))
 	b, err := cbor.Marshal(m)
 	if err != nil {
@@ -225,19 +227,19 @@
 	}
 }
 
-// Alive tells that this host is there, if it has told nothing for a while.
-func (n *News) Alive(host uint32) {
-	if n.now()-time.Duration(n.told.Load()) > AlivePeriod {
+// SendHeartbeat tells that this host is there, if it has told nothing for a while.
+func (n *Exchange) SendHeartbeat(host uint32) {
+	if n.now()-time.Duration(n.told.Load()) > HeartbeatInterval {
 		n.send(message{Kind: alive, Host: host})
 	}
 }
 
-// AlivePeriod is how long a host may have no news before it tells that it is
+// HeartbeatInterval is how long a host may have no news before it tells that it is
 // there. A third of the time after which others take it for gone.
-const AlivePeriod = 500 * time.Millisecond
+const HeartbeatInterval = 500 * time.Millisecond
 
 // Run takes in what others tell until the socket is closed.
-func (n *News) Run() {
+func (n *Exchange) Run() {
 	b := make([]byte, maxDatagram)
 	for {
 		size, from, err := n.conn.ReadFromUDPAddrPort(b)
@@ -260,7 +262,7 @@
 }
 
 // takeAll takes in messages. One that can't be read is left out.
-func (n *News) takeAll(ms []cbor.RawMessage, from netip.AddrPort) {
+func (n *Exchange) takeAll(ms []cbor.RawMessage, from netip.AddrPort) {
 	for _, b := range ms {
 		var m message
 		if err := cbor.Unmarshal(b, &m); err != nil {
@@ -273,7 +275,7 @@
 
 // take takes in a message, but for this host's own: forwarders pass those back
 // too, and its board has heard of them before.
-func (n *News) take(m message, from netip.AddrPort) {
+func (n *Exchange) take(m message, from netip.AddrPort) {
 	if m.Host == n.board.Host() {
 		return
 	}
@@ -294,7 +296,7 @@
 			PlacedAt:    n.now(),
 			Fingerprint: m.Mark, Isolated: m.Apart,
 		})
-		n.notices.Placed(m.Lead)
+		n.notices.Placement(m.Lead)
 	case started:
 		n.board.RecordStart(id, n.now())
 	case ended:
--- a/daemon/news/news_test.go
+++ b/daemon/news/news_test.go
@@ -20,7 +20,7 @@
 const patience = 20 * time.Second
 
 // listen returns news on a free port, with the board that it fills.
-func listen(t *testing.T, host uint32) (*news.News, *schedule.Scheduler, netip.AddrPort) {
+func listen(t *testing.T, host uint32) (*news.Exchange, *schedule.Scheduler, netip.AddrPort) {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -45,16 +45,16 @@
 		Gap: time.Second, Objective: time.Second, FirstToken: time.Second,
 	}
 	// A datagram may be lost, so each is told again until it is heard.
-	until(t, "the placement counts on lead and helper", func() { there.Placed(p) }, func() bool {
+	until(t, "the placement counts on lead and helper", func() { there.SendPlacement(p) }, func() bool {
 		return board.PlacementCount("a") == 1 && board.PlacementCount("b") == 1
 	})
-	until(t, "its end is heard", func() { there.Ended(p.ID) }, func() bool { return board.PlacementCount("a") == 0 })
-	until(t, "a server that fails is reported", func() { there.Failed(1, "c"); there.Failed(3, "c") }, func() bool {
+	until(t, "its end is heard", func() { there.SendEnd(p.ID) }, func() bool { return board.PlacementCount("a") == 0 })
+	until(t, "a server that fails is reported", func() { there.SendFailure(1, "c"); there.SendFailure(3, "c") }, func() bool {
 		p, ok := board.Place(0, site.Service{Name: "plain"}, []backend.Server{{ID: "c"}, {ID: "d"}, {ID: "e"}}, schedule.Request{})
 		board.RecordEnd(p.ID)
 		return ok && p.Lead != "c"
 	})
-	until(t, "the host counts as alive", func() { there.Alive(1) }, func() bool { return board.HostAlive(1, 0) })
+	until(t, "the host counts as alive", func() { there.SendHeartbeat(1) }, func() bool { return board.HostAlive(1, 0) })
 }
 
 // TestWorkspacesAreHeard has a host hear whose prompts engines read.
@@ -64,7 +64,7 @@
 	there.SetRoutes(broadcast.Routes{Direct: []netip.AddrPort{addr}})
 	heavy := schedule.HashWorkspace("heavy")
 	until(t, "a placement is heard", func() {
-		there.Placed(schedule.Placement{
+		there.SendPlacement(schedule.Placement{
 			ID: schedule.ID{Host: 1, Number: 5}, Service: "model", Lead: "a", Workspace: heavy,
 			Work: schedule.Work{Prompt: 90_000}, FirstToken: time.Minute,
 		})
@@ -94,7 +94,7 @@
 	}
 	there.SetRoutes(broadcast.Routes{Direct: []netip.AddrPort{addr}})
 	p := schedule.Placement{ID: schedule.ID{Host: 1, Number: 1}, Lead: "a"}
-	until(t, "news is heard after it", func() { there.Placed(p) }, func() bool { return board.PlacementCount("a") == 1 })
+	until(t, "news is heard after it", func() { there.SendPlacement(p) }, func() bool { return board.PlacementCount("a") == 1 })
 }
 
 func until(t *testing.T, what string, do func(), done func() bool) {
--- a/daemon/news/notice.go
+++ b/daemon/news/notice.go
@@ -12,41 +12,41 @@
 	"slipcrank.example/daemon/event"
 )
 
-// Notices are who takes in what other hosts ask and tell of what servers have said, with
+// NoticeHandlers are who takes in what other hosts ask and tell of what servers have said, with
 // the number of the host that does.
-type Notices struct {
-	// Ask answers a question.
-	Ask func(host uint32, q grant.Request) grant.Reply
-	// Reply takes in an answer.
-	Reply func(host uint32, r grant.Reply)
+type NoticeHandlers struct {
+	// GrantRequest answers a question.
+	GrantRequest func(host uint32, q grant.Request) grant.Reply
+	// GrantReply takes in an answer.
+	GrantReply func(host uint32, r grant.Reply)
 	// Limit takes in that a server names another limit.
 	Limit func(host uint32, server string, l notice.Limit)
-	// Leaves takes in that a server says it leaves.
-	Leaves func(host uint32, server string)
-	// Placed takes in that a host sends a request to a server.
-	Placed func(server string)
+	// Leaving takes in that a server says it leaves.
+	Leaving func(host uint32, server string)
+	// Placement takes in that a host sends a request to a server.
+	Placement func(server string)
 }
 
-// OnNotices sets who takes that in. It is called before Run.
-func (n *News) OnNotices(t Notices) { n.notices = t }
+// SetNoticeHandlers sets who takes that in. It is called before Run.
+func (n *Exchange) SetNoticeHandlers(t NoticeHandlers) { n.notices = t }
 
-// Ask asks one host for a request to a limited server.
-func (n *News) Ask(to netip.AddrPort, q grant.Request) {
+// SendGrantRequest asks one host for a request to a limited server.
+func (n *Exchange) SendGrantRequest(to netip.AddrPort, q grant.Request) {
 	n.sendTo(to, message{Kind: asked, Number: q.ID, Lead: q.Server, Hall: q.Hall, Ping: q.Ping}.withLimit(q.Limit))
 }
 
-// Limit tells others that a server names another limit.
-func (n *News) Limit(host uint32, server string, l notice.Limit) {
+// SendLimit tells others that a server names another limit.
+func (n *Exchange) SendLimit(host uint32, server string, l notice.Limit) {
 	n.send(message{Kind: limited, Host: host, Lead: server}.withLimit(l))
 }
 
-// Leaves tells others that a server says it leaves.
-func (n *News) Leaves(host uint32, server string) {
+// SendLeaving tells others that a server says it leaves.
+func (n *Exchange) SendLeaving(host uint32, server string) {
 	n.send(message{Kind: leaves, Host: host, Lead: server})
 }
 
 // takeNotice takes in a message about what a server has said.
-func (n *News) takeNotice(m message, from netip.AddrPort) {
+func (n *Exchange) takeNotice(m message, from netip.AddrPort) {
 	l := notice.Limit{Version: m.LimitVersion, Limited: m.Limited, Rate: m.Rate}
 	if err := l.Validate(); err != nil {
 		n.log.Write(event.NewsLost, slog.String("from", from.String()), slog.String("error", err.Error()))
@@ -54,19 +54,19 @@
 	}
 	switch m.Kind {
 	case asked:
-		r := n.notices.Ask(m.Host, grant.Request{ID: m.Number, Server: m.Lead, Hall: m.Hall, Limit: l, Ping: m.Ping})
+		r := n.notices.GrantRequest(m.Host, grant.Request{ID: m.Number, Server: m.Lead, Hall: m.Hall, Limit: l, Ping: m.Ping})
 		n.sendTo(from, message{
 			Kind: granted, Number: r.ID, Lead: r.Server, Granted: r.Granted, WaitMS: (r.Wait + time.Millisecond - 1).Milliseconds(),
 		}.withLimit(r.Limit))
 	case granted:
-		n.notices.Reply(m.Host, grant.Reply{
+		n.notices.GrantReply(m.Host, grant.Reply{
 			ID: m.Number, Server: m.Lead, Limit: l, Granted: m.Granted,
 			Wait: time.Duration(m.WaitMS) * time.Millisecond,
 		})
 	case limited:
 		n.notices.Limit(m.Host, m.Lead, l)
 	case leaves:
-		n.notices.Leaves(m.Host, m.Lead)
+		n.notices.Leaving(m.Host, m.Lead)
 	}
 }
 
@@ -77,7 +77,7 @@
 }
 
 // sendTo tells one host alone.
-func (n *News) sendTo(to netip.AddrPort, m message) {
+func (n *Exchange) sendTo(to netip.AddrPort, m message) {
 	m.Host = n.board.Host()
 	b, err := cbor.Marshal(m)
 	if err != nil {
