--- a/daemon/news/forward.go
+++ b/daemon/news/forward.go
@@ -12,95 +12,102 @@
 )
 
 const (
-	// gatherTime is how long news waits at a forwarder for more, but for new
-	// placements, which leave at once with all that waits: hosts rank engines
-	// alike, so what is placed on an engine has to be known before the next
-	// request is. A cell of 147 hosts with 133 requests a second tells 700 pieces
-	// of news a second, which so cost each host some 150 datagrams.
-	gatherTime = 20 * time.Millisecond
-	// maxGathered bounds what waits, a second's news of such a cell: what comes
-	// beyond it is lost.
-	maxGathered = 1024
-	// batchHead is what a datagram holds beside its messages.
-	batchHead = 8
+	// batchDelay is how long a forwarder holds messages back to forward them in
+	// batches. Urgent messages, such as new placements, are forwarded at once together
+	// with all pending ones: hosts rank engines alike, so a host must know the
+	// placements on an engine before it places its next request. A cell of 147 hosts
+	// with 133 requests/s sends 700 updates/s, which with this delay cost each host
+	// some 150 datagrams/s.
+	batchDelay = 20 * time.Millisecond
+	// maxPending bounds the number of pending messages: the updates that such a cell
+	// sends in a second. Further messages are dropped.
+	maxPending = 1024
+	// datagramOverhead is the size of a datagram without its messages, in bytes.
+	datagramOverhead = 8
 )
 
-// How far the host that gets a datagram passes on what is in it.
+// Scopes of a datagram.
 const (
-	toNobody reach = 0
-	// toHall is to the other hosts of its hall.
-	toHall reach = 1
-	// toCell is to its hall and to the forwarders of other halls.
-	toCell reach = 2
+	forwardToNone scope = 0
+	// forwardToHall makes the receiver forward to the other hosts of its hall.
+	forwardToHall scope = 1
+	// forwardToCell makes the receiver forward to its hall and to the forwarders of
+	// the other halls.
+	forwardToCell scope = 2
 )
 
 type (
-	reach uint8
+	// scope is the set of hosts to which the receiver of a datagram forwards its
+	// messages.
+	scope uint8
 
-	// datagram is what is sent at once.
+	// datagram is the content of one UDP datagram.
 	datagram struct {
 		_        struct{} `cbor:",toarray"`
-		Reach    reach
-		Urgent   bool // to be passed on at once
+		Scope    scope
+		Urgent   bool // forwarded at once
 		Messages []cbor.RawMessage
 	}
 
-	// gathered are messages that wait to be passed on.
-	gathered struct {
+	// pending holds the messages that are to be forwarded with the next batch.
+	pending struct {
 		mu           sync.Mutex
 		hall, remote []cbor.RawMessage
-		waiting      bool // for the end of gatherTime
+		scheduled    bool // a flush is scheduled at the end of batchDelay
 	}
 )
 
-// pass gathers messages for whom they have to reach, and sends them on soon.
-func (n *Exchange) pass(d datagram) {
-	if d.Reach == toNobody {
+// forward adds the messages of a datagram to the pending ones that its scope asks for,
+// and flushes these at once or after batchDelay.
+func (n *Exchange) forward(d datagram) {
+	if d.Scope == forwardToNone {
 		return
 	}
-	g := &n.gathered
-	g.mu.Lock()
-	g.hall = n.gather(g.hall, d.Messages)
-	if d.Reach == toCell {
-		g.remote = n.gather(g.remote, d.Messages)
+	p := &n.pending
+	p.mu.Lock()
+	p.hall = n.appendPending(p.hall, d.Messages)
+	if d.Scope == forwardToCell {
+		p.remote = n.appendPending(p.remote, d.Messages)
 	}
-	if !d.Urgent && !g.waiting {
-		g.waiting = true
-		time.AfterFunc(gatherTime, func() { n.flush(false) })
+	if !d.Urgent && !p.scheduled {
+		p.scheduled = true
+		time.AfterFunc(batchDelay, func() { n.flush(false) })
 	}
-	g.mu.Unlock()
+	p.mu.Unlock()
 	if d.Urgent {
 		n.flush(true)
 	}
 }
 
-func (n *Exchange) gather(waiting, ms []cbor.RawMessage) []cbor.RawMessage {
-	room := max(maxGathered-len(waiting), 0)
+// appendPending appends messages to pending ones up to maxPending, and logs how many it
+// drops.
+func (n *Exchange) appendPending(to, ms []cbor.RawMessage) []cbor.RawMessage {
+	room := max(maxPending-len(to), 0)
 	if len(ms) > room {
-		n.log.Write(event.NewsLost, slog.String("doing", "pass on"), slog.Int("messages", len(ms)-room))
+		n.log.Write(event.NewsLost, slog.String("doing", "forward"), slog.Int("messages", len(ms)-room))
 		ms = ms[:room]
 	}
-	return append(waiting, ms...)
+	return append(to, ms...)
 }
 
-// flush sends what has been gathered.
+// flush sends the pending messages.
 func (n *Exchange) flush(urgent bool) {
-	g := &n.gathered
-	g.mu.Lock()
-	hall, remote := g.hall, g.remote
-	g.hall, g.remote = nil, nil
-	g.waiting = g.waiting && urgent // whoever isn't urgent comes at the end of gatherTime
-	g.mu.Unlock()
+	p := &n.pending
+	p.mu.Lock()
+	hall, remote := p.hall, p.remote
+	p.hall, p.remote = nil, nil
+	p.scheduled = p.scheduled && urgent // only the scheduled flush isn't urgent
+	p.mu.Unlock()
 	routes := n.routes.Load()
-	n.transmit(datagram{Reach: toNobody, Urgent: urgent, Messages: hall}, routes.Hall)
-	n.transmit(datagram{Reach: toHall, Urgent: urgent, Messages: remote}, routes.Remote)
+	n.transmit(datagram{Scope: forwardToNone, Urgent: urgent, Messages: hall}, routes.Hall)
+	n.transmit(datagram{Scope: forwardToHall, Urgent: urgent, Messages: remote}, routes.Remote)
 }
 
 // transmit sends messages to hosts, in as few datagrams as they fit into.
 func (n *Exchange) transmit(d datagram, hosts []netip.AddrPort) {
 	for ms := d.Messages; len(ms) > 0 && len(hosts) > 0; {
-		count, size := 0, batchHead
-		for count < len(ms) && (count == 0 || size+len(ms[count]) <= maxDatagram) {
+		count, size := 0, datagramOverhead
+		for count < len(ms) && (count == 0 || size+len(ms[count]) <= maxDatagramBytes) {
 			size += len(ms[count])
 			count++
 		}
@@ -111,22 +118,23 @@
 			return
 		}
 		for _, h := range hosts {
-			// A host that can't be reached is one that hears nothing: no retry.
+			// Errors are ignored: delivery is unreliable, and there are no retries.
 			_, _ = n.conn.WriteToUDPAddrPort(b, h)
 		}
 	}
 }
 
-// note notes that a datagram came from an address.
-func (n *Exchange) note(from netip.AddrPort) {
+// recordReceived records the time of a datagram from an address.
+func (n *Exchange) recordReceived(from netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heard[from] = n.now()
+	n.lastReceived[from] = n.now()
 }
 
-// LastReceived returns when a datagram came from an address last, zero if never.
+// LastReceived returns when the last datagram from an address arrived, zero if none has
+// within lastReceivedRetention.
 func (n *Exchange) LastReceived(from netip.AddrPort) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.heard[from]
+	return n.lastReceived[from]
 }
--- a/daemon/news/forward_test.go
+++ b/daemon/news/forward_test.go
@@ -8,23 +8,23 @@
 	"slipcrank.example/core/schedule"
 )
 
-// TestForwardersPassNewsOn has a host tell its forwarder, which passes news on
-// to its hall and to the forwarder of another one.
-func TestForwardersPassNewsOn(t *testing.T) {
-	origin, own, originAddr := listen(t, 1)
-	near, nearBoard, nearAddr := listen(t, 2)
-	_, mate, mateAddr := listen(t, 3)
-	far, farBoard, farAddr := listen(t, 4)
-	_, last, lastAddr := listen(t, 5)
-	origin.SetRoutes(broadcast.Routes{Forwarder: nearAddr, Hall: []netip.AddrPort{nearAddr, mateAddr}})
-	near.SetRoutes(broadcast.Routes{Hall: []netip.AddrPort{originAddr, mateAddr}, Remote: []netip.AddrPort{farAddr}})
-	far.SetRoutes(broadcast.Routes{Hall: []netip.AddrPort{lastAddr}, Remote: []netip.AddrPort{nearAddr}})
+// TestForwardersReachAllHosts has a host send updates to its forwarder, which forwards
+// them to its hall and to the forwarder of another hall.
+func TestForwardersReachAllHosts(t *testing.T) {
+	origin, originScheduler, originAddr := listen(t, 1)
+	forwarder, forwarderScheduler, forwarderAddr := listen(t, 2)
+	_, peerScheduler, peerAddr := listen(t, 3)
+	remoteForwarder, remoteForwarderScheduler, remoteForwarderAddr := listen(t, 4)
+	_, remoteScheduler, remoteAddr := listen(t, 5)
+	origin.SetRoutes(broadcast.Routes{Forwarder: forwarderAddr, Hall: []netip.AddrPort{forwarderAddr, peerAddr}})
+	forwarder.SetRoutes(broadcast.Routes{Hall: []netip.AddrPort{originAddr, peerAddr}, Remote: []netip.AddrPort{remoteForwarderAddr}})
+	remoteForwarder.SetRoutes(broadcast.Routes{Hall: []netip.AddrPort{remoteAddr}, Remote: []netip.AddrPort{forwarderAddr}})
 
-	boards := []*schedule.Scheduler{nearBoard, mate, farBoard, last}
+	schedulers := []*schedule.Scheduler{forwarderScheduler, peerScheduler, remoteForwarderScheduler, remoteScheduler}
 	each := func(running int) func() bool {
 		return func() bool {
-			for _, b := range boards {
-				if b.PlacementCount("a") != running {
+			for _, s := range schedulers {
+				if s.PlacementCount("a") != running {
 					return false
 				}
 			}
@@ -32,26 +32,26 @@
 		}
 	}
 	p := schedule.Placement{ID: schedule.ID{Host: 1, Number: 5}, Lead: "a"}
-	until(t, "each host knows the placement", func() { origin.SendPlacement(p) }, each(1))
-	until(t, "the host that placed it hears its forwarder", func() { origin.SendHeartbeat(1) }, func() bool { return origin.LastReceived(nearAddr) > 0 })
-	if own.PlacementCount("a") != 0 || own.HostAlive(1, 0) {
-		t.Error("a host takes its own news for another's")
+	until(t, "placement not recorded on all hosts", func() { origin.SendPlacement(p) }, each(1))
+	until(t, "no datagram from the forwarder at the origin", func() { origin.SendHeartbeat(1) }, func() bool { return origin.LastReceived(forwarderAddr) > 0 })
+	if originScheduler.PlacementCount("a") != 0 || originScheduler.HostAlive(1, 0) {
+		t.Error("host applied its own update as another host's")
 	}
-	until(t, "each host knows its end", func() { origin.SendEnd(p.ID) }, each(0))
+	until(t, "end of placement not recorded on all hosts", func() { origin.SendEnd(p.ID) }, each(0))
 
-	near.SendPlacement(schedule.Placement{ID: schedule.ID{Host: 2, Number: 1}, Lead: "b"})
-	until(t, "news of a forwarder itself reach the other hall", func() { near.SendStart(schedule.ID{Host: 2, Number: 1}) }, func() bool { return last.PlacementCount("b") == 1 })
+	forwarder.SendPlacement(schedule.Placement{ID: schedule.ID{Host: 2, Number: 1}, Lead: "b"})
+	until(t, "update of the forwarder itself not recorded in the other hall", func() { forwarder.SendStart(schedule.ID{Host: 2, Number: 1}) }, func() bool { return remoteScheduler.PlacementCount("b") == 1 })
 }
 
-// TestManyMessagesAreSplit has a forwarder pass on more than one datagram holds.
+// TestManyMessagesAreSplit has a forwarder send more messages than fit into one datagram.
 func TestManyMessagesAreSplit(t *testing.T) {
-	near, _, _ := listen(t, 1)
-	_, board, addr := listen(t, 2)
-	near.SetRoutes(broadcast.Routes{Hall: []netip.AddrPort{addr}})
+	forwarder, _, _ := listen(t, 1)
+	_, receiver, addr := listen(t, 2)
+	forwarder.SetRoutes(broadcast.Routes{Hall: []netip.AddrPort{addr}})
 	const count = 200
-	until(t, "all placements are heard", func() {
+	until(t, "not all placements recorded", func() {
 		for n := range uint32(count) {
-			near.SendPlacement(schedule.Placement{ID: schedule.ID{Host: 1, Number: n}, Lead: "a", Service: "a service of a usual name"})
+			forwarder.SendPlacement(schedule.Placement{ID: schedule.ID{Host: 1, Number: n}, Lead: "a", Service: "a service of a usual name"})
 		}
-	}, func() bool { return board.PlacementCount("a") == count })
+	}, func() bool { return receiver.PlacementCount("a") == count })
 }
--- a/daemon/news/news.go
+++ b/daemon/news/news.go
@@ -1,19 +1,19 @@
-// Package news tells other hosts what is placed on backend servers, and hears
-// it from them.
+// Package news exchanges updates about placements and backend servers between hosts.
 //
-// Each placement, first token and end is told to every other host of the cell,
-// and so is a failure of a server: by a datagram to each, or in a large cell by
-// one to a forwarder, which passes it on with others. One that is lost costs a
-// slightly worse choice until the placement is forgotten, and never a promise,
-// so nothing is sent twice and nobody waits: that is why this isn't a call over
-// gRPC.
+// A host sends an update to all other hosts of its cell for each placement, each first
+// token, each end of a placement and each failure of a server. An update goes out in one
+// datagram to each host or, in a large cell, in one datagram to a forwarder, which
+// forwards it together with others (package broadcast). Delivery is unreliable: there
+// are no acknowledgements and no retransmissions. A lost update makes some placements
+// slightly worse until the placement expires, but never breaks a guarantee, so no
+// request waits for delivery. This is why updates are not sent by gRPC.
 //
 // # Usage
 //
-//	n, err := news.Listen(addr, board, log)
+//	n, err := news.Listen(addr, scheduler, log, clock.Now)
 //	n.SetRoutes(routes)
 //	go n.Run()
-//	n.Placed(placement)
+//	n.SendPlacement(placement)
 package news
 
 import (
@@ -38,73 +38,80 @@
 )
 
 const (
-	// maxDatagram stays within one packet of usual links; 17 servers' names fit.
-	maxDatagram = 1400
-	// heardTime is for how long it is known when an address was heard.
-	heardTime = time.Minute
-	// suspectsPerMessage fits into a datagram: of each there are some 45 bytes,
-	// its workspace's name of up to 64, and 13 bytes for each of up to 8 ends.
-	suspectsPerMessage = 5
+	// maxDatagramBytes keeps a datagram within one packet on usual links; a placement
+	// with 17 server names fits.
+	maxDatagramBytes = 1400
+	// lastReceivedRetention is how long the time of the last datagram from an address
+	// is kept.
+	lastReceivedRetention = time.Minute
+	// maxSuspectsPerMessage makes a message fit into a datagram: a suspect takes some
+	// 45 bytes, a workspace name of up to 64 bytes, and 13 bytes for each of up to 8
+	// crashes.
+	maxSuspectsPerMessage = 5
 )
 
-// What a message tells.
+// Kinds of messages, as sent on the wire.
 const (
-	placed  kind = 1
-	started kind = 2
-	ended   kind = 3
-	alive   kind = 4
-	failed  kind = 5
-	suspect kind = 6
-	// A host asks another for a request to a limited server, which grants it or not;
-	// and it tells all that a server names another limit, or says that it leaves.
-	asked   kind = 7
-	granted kind = 8
-	limited kind = 9
-	leaves  kind = 10
+	kindPlacement kind = 1
+	kindStart     kind = 2
+	kindEnd       kind = 3
+	kindHeartbeat kind = 4
+	kindFailure   kind = 5
+	kindSuspects  kind = 6
+	// kindGrantRequest asks another host for one request to a limited server, and
+	// kindGrantReply grants or denies it.
+	kindGrantRequest kind = 7
+	kindGrantReply   kind = 8
+	// kindLimit reports a changed limit of a server, kindLeaving a server that is about
+	// to shut down.
+	kindLimit   kind = 9
+	kindLeaving kind = 10
 )
 
 type (
 	kind uint8
 
-	// Exchange sends and receives. It is safe for use by many goroutines.
+	// Exchange sends this host's updates to other hosts, and applies the updates that
+	// it receives to the scheduler. It is safe for concurrent use.
 	Exchange struct {
-		conn     *net.UDPConn
-		board    *schedule.Scheduler
-		log      *decision.Log
-		routes   atomic.Pointer[broadcast.Routes]
-		now      func() time.Duration
-		told     atomic.Int64 // when something was sent last
-		gathered gathered
-		suspects func(host uint32, rs []quarantine.Record)
-		notices  NoticeHandlers
+		conn      *net.UDPConn
+		scheduler *schedule.Scheduler
+		log       *decision.Log
+		routes    atomic.Pointer[broadcast.Routes]
+		now       func() time.Duration
+		lastSent  atomic.Int64 // time of the last update, in ns
+		pending   pending
+		suspects  func(host uint32, rs []quarantine.Record)
+		notices   NoticeHandlers
 
-		mu    sync.Mutex
-		heard map[netip.AddrPort]time.Duration
+		mu           sync.Mutex
+		lastReceived map[netip.AddrPort]time.Duration
 	}
 
-	share struct {
+	// memoryShare is the number of a placement's KV cache tokens on one server.
+	memoryShare struct {
 		_      struct{} `cbor:",toarray"`
 		Server string
 		Tokens int
 	}
 
-	// message is one datagram. Keys are numbers, since each costs a byte.
+	// message is one update. Its CBOR keys are numbers, which take a byte each.
 	message struct {
-		Kind        kind     `cbor:"1,keyasint"`
-		Host        uint32   `cbor:"2,keyasint"`
-		Number      uint32   `cbor:"3,keyasint"`
-		Lead        string   `cbor:"4,keyasint,omitempty"`
-		Helpers     []string `cbor:"5,keyasint,omitempty"`
-		Prompt      int      `cbor:"6,keyasint,omitempty"`
-		Answer      int      `cbor:"7,keyasint,omitempty"`
-		GapMS       int64    `cbor:"8,keyasint,omitempty"`
-		FirstMS     int64    `cbor:"9,keyasint,omitempty"`
-		ObjectiveMS int64    `cbor:"12,keyasint,omitempty"`
-		Service     string   `cbor:"10,keyasint,omitempty"`
-		Shares      []share  `cbor:"11,keyasint,omitempty"`
-		Workspace   uint32   `cbor:"13,keyasint,omitempty"`
-		Mark        uint64   `cbor:"14,keyasint,omitempty"`
-		Apart       bool     `cbor:"15,keyasint,omitempty"`
+		Kind        kind          `cbor:"1,keyasint"`
+		Host        uint32        `cbor:"2,keyasint"`
+		Number      uint32        `cbor:"3,keyasint"`
+		Lead        string        `cbor:"4,keyasint,omitempty"`
+		Helpers     []string      `cbor:"5,keyasint,omitempty"`
+		Prompt      int           `cbor:"6,keyasint,omitempty"`
+		Answer      int           `cbor:"7,keyasint,omitempty"`
+		GapMS       int64         `cbor:"8,keyasint,omitempty"`
+		FirstMS     int64         `cbor:"9,keyasint,omitempty"`
+		ObjectiveMS int64         `cbor:"12,keyasint,omitempty"`
+		Service     string        `cbor:"10,keyasint,omitempty"`
+		Shares      []memoryShare `cbor:"11,keyasint,omitempty"`
+		Workspace   uint32        `cbor:"13,keyasint,omitempty"`
+		Fingerprint uint64        `cbor:"14,keyasint,omitempty"`
+		Isolated    bool          `cbor:"15,keyasint,omitempty"`
 
 		Suspects []quarantine.Record `cbor:"16,keyasint,omitempty"`
 
@@ -118,25 +125,26 @@
 	}
 )
 
-// Listen opens the socket.
-func Listen(addr string, b *schedule.Scheduler, l *decision.Log, now func() time.Duration) (*Exchange, error) {
+// Listen opens a UDP socket on addr, an IPv4 address and port, and returns an exchange
+// on it.
+func Listen(addr string, s *schedule.Scheduler, l *decision.Log, now func() time.Duration) (*Exchange, error) {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "address for news")
+		return nil, errors.Wrap(err, "parse listen address for updates of other hosts")
 	}
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a))
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for news")
+		return nil, errors.Wrap(err, "listen for updates of other hosts")
 	}
-	return New(c, b, l, now), nil
+	return New(c, s, l, now), nil
 }
 
-// New returns news on an open socket.
-func New(c *net.UDPConn, b *schedule.Scheduler, l *decision.Log, now func() time.Duration) *Exchange {
+// New returns an exchange on an open socket.
+func New(c *net.UDPConn, s *schedule.Scheduler, l *decision.Log, now func() time.Duration) *Exchange {
 	n := &Exchange{
-		conn: c, board: b, log: l, now: now,
-		heard:    map[netip.AddrPort]time.Duration{},
-		suspects: func(uint32, []quarantine.Record) {},
+		conn: c, scheduler: s, log: l, now: now,
+		lastReceived: map[netip.AddrPort]time.Duration{},
+		suspects:     func(uint32, []quarantine.Record) {},
 		notices: NoticeHandlers{
 			GrantRequest: func(uint32, grant.Request) grant.Reply { return grant.Reply{} },
 			GrantReply:   func(uint32, grant.Reply) {},
@@ -150,97 +158,99 @@
 	return n
 }
 
-// SetRoutes sets who is told. It is called again and again, and forgets when
-// addresses were heard long ago.
+// SetRoutes sets the hosts to which updates are sent. It must be called regularly, since
+// it also drops the times of last datagrams after lastReceivedRetention.
 func (n *Exchange) SetRoutes(r broadcast.Routes) {
 	n.routes.Store(&r)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for a, at := range n.heard {
-		if n.now()-at > heardTime {
-			delete(n.heard, a)
+	for a, at := range n.lastReceived {
+		if n.now()-at > lastReceivedRetention {
+			delete(n.lastReceived, a)
 		}
 	}
 }
 
-// SetSuspectsHandler sets who takes in what other hosts tell of suspects. It is called
-// before Run.
+// SetSuspectsHandler sets the function that is called with suspects received from
+// another host. It must be called before Run.
 func (n *Exchange) SetSuspectsHandler(f func(host uint32, rs []quarantine.Record)) { n.suspects = f }
 
-// Close ends Run.
+// Close closes the socket, which ends Run.
 func (n *Exchange) Close() error { return n.conn.Close() }
 
-// SendPlacement tells of a new placement.
+// SendPlacement reports a new placement to other hosts.
 func (n *Exchange) SendPlacement(p schedule.Placement) {
-	var shares []share
+	var shares []memoryShare
 	for _, s := range p.MemoryShares {
-		shares = append(shares, share{Server: s.Server, Tokens: s.Tokens})
+		shares = append(shares, memoryShare{Server: s.Server, Tokens: s.Tokens})
 	}
 	n.send(message{
-		Kind: placed, Host: p.ID.Host, Number: p.ID.Number, Lead: p.Lead, Helpers: p.Helpers,
+		Kind: kindPlacement, Host: p.ID.Host, Number: p.ID.Number, Lead: p.Lead, Helpers: p.Helpers,
 		Prompt: p.Work.Prompt, Answer: p.Work.Answer, GapMS: p.Gap.Milliseconds(),
 		ObjectiveMS: p.Objective.Milliseconds(),
 		FirstMS:     p.FirstToken.Milliseconds(), Service: p.Service, Shares: shares,
-		Workspace: p.Workspace, Mark: p.Fingerprint, Apart: p.Isolated,
+		Workspace: p.Workspace, Fingerprint: p.Fingerprint, Isolated: p.Isolated,
 	})
 }
 
-// SendStart tells that the prompt of a placement has been read.
+// SendStart reports that the prefill of a placement has ended.
 func (n *Exchange) SendStart(id schedule.ID) {
-	n.send(message{Kind: started, Host: id.Host, Number: id.Number})
+	n.send(message{Kind: kindStart, Host: id.Host, Number: id.Number})
 }
 
-// SendEnd tells that a placement is over.
+// SendEnd reports that a placement has ended.
 func (n *Exchange) SendEnd(id schedule.ID) {
-	n.send(message{Kind: ended, Host: id.Host, Number: id.Number})
+	n.send(message{Kind: kindEnd, Host: id.Host, Number: id.Number})
 }
 
-// SendFailure tells that a server has failed this host.
+// SendFailure reports that a request of this host failed on a server.
 func (n *Exchange) SendFailure(host uint32, server string) {
-	n.send(message{Kind: failed, Host: host, Lead: server})
+	n.send(message{Kind: kindFailure, Host: host, Lead: server})
 }
 
-// SendSuspects tells of requests under which servers ended, in messages that each fit
-// into a datagram.
+// SendSuspects sends the records of suspects, in messages that each fit into a datagram.
 func (n *Exchange) SendSuspects(host uint32, rs []quarantine.Record) {
-	for part := range slices.Chunk(rs, suspectsPerMessage) {
-		n.send(message{Kind: suspect, Host: host, Suspects: part})
+	for chunk := range slices.Chunk(rs, maxSuspectsPerMessage) {
+		n.send(message{Kind: kindSuspects, Host: host, Suspects: chunk})
 	}
 }
 
+// send sends a message to the other hosts, directly or through forwarders.
 func (n *Exchange) send(m message) {
-	n.told.Store(int64(n.now()))
+	n.lastSent.Store(int64(n.now()))
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		n.log.Write(event.NewsLost, slog.String("error", err.Error()))
 		return
 	}
-	d := datagram{Reach: toCell, Urgent: m.Kind == placed || m.Kind == suspect || m.Kind == limited || m.Kind == leaves, Messages: []cbor.RawMessage{b}}
+	d := datagram{Scope: forwardToCell, Urgent: m.Kind == kindPlacement || m.Kind == kindSuspects || m.Kind == kindLimit || m.Kind == kindLeaving, Messages: []cbor.RawMessage{b}}
 	switch r := n.routes.Load(); {
 	case len(r.Direct) > 0:
-		d.Reach = toNobody
+		d.Scope = forwardToNone
 		n.transmit(d, r.Direct)
 	case r.Forwarder.IsValid():
 		n.transmit(d, []netip.AddrPort{r.Forwarder})
 	default:
-		n.pass(d)
+		n.forward(d)
 	}
 }
 
-// SendHeartbeat tells that this host is there, if it has told nothing for a while.
+// SendHeartbeat reports that this host is alive, unless it has sent an update within
+// [HeartbeatInterval].
 func (n *Exchange) SendHeartbeat(host uint32) {
-	if n.now()-time.Duration(n.told.Load()) > HeartbeatInterval {
-		n.send(message{Kind: alive, Host: host})
+	if n.now()-time.Duration(n.lastSent.Load()) > HeartbeatInterval {
+		n.send(message{Kind: kindHeartbeat, Host: host})
 	}
 }
 
-// HeartbeatInterval is how long a host may have no news before it tells that it is
-// there. A third of the time after which others take it for gone.
+// HeartbeatInterval is the time without updates after which a host sends a heartbeat. It
+// is a third of the time after which other hosts consider it gone.
 const HeartbeatInterval = 500 * time.Millisecond
 
-// Run takes in what others tell until the socket is closed.
+// Run receives datagrams, forwards them and applies their messages, until the socket is
+// closed.
 func (n *Exchange) Run() {
-	b := make([]byte, maxDatagram)
+	b := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := n.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -255,57 +265,57 @@
 			n.log.Write(event.NewsLost, slog.String("from", from.String()), slog.String("error", err.Error()))
 			continue
 		}
-		n.note(from)
-		n.pass(d)
-		n.takeAll(d.Messages, from)
+		n.recordReceived(from)
+		n.forward(d)
+		n.applyAll(d.Messages, from)
 	}
 }
 
-// takeAll takes in messages. One that can't be read is left out.
-func (n *Exchange) takeAll(ms []cbor.RawMessage, from netip.AddrPort) {
+// applyAll applies the messages of a datagram, and skips malformed ones.
+func (n *Exchange) applyAll(ms []cbor.RawMessage, from netip.AddrPort) {
 	for _, b := range ms {
 		var m message
 		if err := cbor.Unmarshal(b, &m); err != nil {
 			n.log.Write(event.NewsLost, slog.String("from", from.String()), slog.String("error", err.Error()))
 			continue
 		}
-		n.take(m, from)
+		n.apply(m, from)
 	}
 }
 
-// take takes in a message, but for this host's own: forwarders pass those back
-// too, and its board has heard of them before.
-func (n *Exchange) take(m message, from netip.AddrPort) {
-	if m.Host == n.board.Host() {
+// apply applies a message of another host. It ignores this host's own messages, which
+// forwarders send back, since the scheduler already has their content.
+func (n *Exchange) apply(m message, from netip.AddrPort) {
+	if m.Host == n.scheduler.Host() {
 		return
 	}
-	n.board.RecordContact(m.Host, n.now())
+	n.scheduler.RecordContact(m.Host, n.now())
 	id := schedule.ID{Host: m.Host, Number: m.Number}
 	switch m.Kind {
-	case placed:
+	case kindPlacement:
 		var shares []schedule.MemoryShare
 		for _, s := range m.Shares {
 			shares = append(shares, schedule.MemoryShare{Server: s.Server, Tokens: s.Tokens})
 		}
-		n.board.AddRemote(schedule.Placement{
+		n.scheduler.AddRemote(schedule.Placement{
 			ID: id, Service: m.Service, Workspace: m.Workspace, Lead: m.Lead, Helpers: m.Helpers, MemoryShares: shares,
 			Work:        schedule.Work{Prompt: m.Prompt, Answer: m.Answer},
 			Gap:         time.Duration(m.GapMS) * time.Millisecond,
 			Objective:   time.Duration(m.ObjectiveMS) * time.Millisecond,
 			FirstToken:  time.Duration(m.FirstMS) * time.Millisecond,
 			PlacedAt:    n.now(),
-			Fingerprint: m.Mark, Isolated: m.Apart,
+			Fingerprint: m.Fingerprint, Isolated: m.Isolated,
 		})
 		n.notices.Placement(m.Lead)
-	case started:
-		n.board.RecordStart(id, n.now())
-	case ended:
-		n.board.RecordEnd(id)
-	case failed:
-		n.board.RecordRemoteFailure(m.Host, m.Lead, n.now())
-	case suspect:
+	case kindStart:
+		n.scheduler.RecordStart(id, n.now())
+	case kindEnd:
+		n.scheduler.RecordEnd(id)
+	case kindFailure:
+		n.scheduler.RecordRemoteFailure(m.Host, m.Lead, n.now())
+	case kindSuspects:
 		n.suspects(m.Host, m.Suspects)
-	case asked, granted, limited, leaves:
-		n.takeNotice(m, from)
+	case kindGrantRequest, kindGrantReply, kindLimit, kindLeaving:
+		n.applyNotice(m, from)
 	}
 }
--- a/daemon/news/news_test.go
+++ b/daemon/news/news_test.go
@@ -17,9 +17,10 @@
 	"slipcrank.example/daemon/news"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// listen returns news on a free port, with the board that it fills.
+// listen returns an exchange on a free port, the scheduler that it updates, and its
+// address.
 func listen(t *testing.T, host uint32) (*news.Exchange, *schedule.Scheduler, netip.AddrPort) {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -27,63 +28,64 @@
 		t.Fatal(err)
 	}
 	addr := c.LocalAddr().(*net.UDPAddr).AddrPort()
-	b := schedule.New(host)
+	s := schedule.New(host)
 	start := time.Now()
-	n := news.New(c, b, decision.New(io.Discard), func() time.Duration { return time.Since(start) })
+	n := news.New(c, s, decision.New(io.Discard), func() time.Duration { return time.Since(start) })
 	go n.Run()
 	t.Cleanup(func() { _ = n.Close() })
-	return n, b, addr
+	return n, s, addr
 }
 
-func TestPlacementsAreHeard(t *testing.T) {
-	there, _, _ := listen(t, 1)
-	_, board, addr := listen(t, 2)
-	there.SetRoutes(broadcast.Routes{Direct: []netip.AddrPort{addr}})
+func TestUpdatesReachOtherHost(t *testing.T) {
+	sender, _, _ := listen(t, 1)
+	_, receiver, addr := listen(t, 2)
+	sender.SetRoutes(broadcast.Routes{Direct: []netip.AddrPort{addr}})
 	p := schedule.Placement{
 		ID: schedule.ID{Host: 1, Number: 5}, Lead: "a", Helpers: []string{"b"},
 		MemoryShares: []schedule.MemoryShare{{Server: "b", Tokens: 100}}, Work: schedule.Work{Prompt: 1000, Answer: 10},
 		Gap: time.Second, Objective: time.Second, FirstToken: time.Second,
 	}
-	// A datagram may be lost, so each is told again until it is heard.
-	until(t, "the placement counts on lead and helper", func() { there.SendPlacement(p) }, func() bool {
-		return board.PlacementCount("a") == 1 && board.PlacementCount("b") == 1
+	// A datagram may be lost, so each update is sent until it has arrived.
+	until(t, "placement not counted on lead and helper", func() { sender.SendPlacement(p) }, func() bool {
+		return receiver.PlacementCount("a") == 1 && receiver.PlacementCount("b") == 1
 	})
-	until(t, "its end is heard", func() { there.SendEnd(p.ID) }, func() bool { return board.PlacementCount("a") == 0 })
-	until(t, "a server that fails is reported", func() { there.SendFailure(1, "c"); there.SendFailure(3, "c") }, func() bool {
-		p, ok := board.Place(0, site.Service{Name: "plain"}, []backend.Server{{ID: "c"}, {ID: "d"}, {ID: "e"}}, schedule.Request{})
-		board.RecordEnd(p.ID)
+	until(t, "end of placement not recorded", func() { sender.SendEnd(p.ID) }, func() bool { return receiver.PlacementCount("a") == 0 })
+	until(t, "server reported as failed still leads", func() { sender.SendFailure(1, "c"); sender.SendFailure(3, "c") }, func() bool {
+		p, ok := receiver.Place(0, site.Service{Name: "plain"}, []backend.Server{{ID: "c"}, {ID: "d"}, {ID: "e"}}, schedule.Request{})
+		receiver.RecordEnd(p.ID)
 		return ok && p.Lead != "c"
 	})
-	until(t, "the host counts as alive", func() { there.SendHeartbeat(1) }, func() bool { return board.HostAlive(1, 0) })
+	until(t, "sender not counted as alive", func() { sender.SendHeartbeat(1) }, func() bool { return receiver.HostAlive(1, 0) })
 }
 
-// TestWorkspacesAreHeard has a host hear whose prompts engines read.
-func TestWorkspacesAreHeard(t *testing.T) {
-	there, _, _ := listen(t, 1)
-	_, board, addr := listen(t, 2)
-	there.SetRoutes(broadcast.Routes{Direct: []netip.AddrPort{addr}})
+// TestPlacementsCountForWorkspaces reports a long prompt of one workspace to a host, and
+// checks the shares that its scheduler computes for this workspace and another.
+func TestPlacementsCountForWorkspaces(t *testing.T) {
+	sender, _, _ := listen(t, 1)
+	_, receiver, addr := listen(t, 2)
+	sender.SetRoutes(broadcast.Routes{Direct: []netip.AddrPort{addr}})
 	heavy := schedule.HashWorkspace("heavy")
-	until(t, "a placement is heard", func() {
-		there.SendPlacement(schedule.Placement{
+	until(t, "placement not recorded", func() {
+		sender.SendPlacement(schedule.Placement{
 			ID: schedule.ID{Host: 1, Number: 5}, Service: "model", Lead: "a", Workspace: heavy,
 			Work: schedule.Work{Prompt: 90_000}, FirstToken: time.Minute,
 		})
-	}, func() bool { return board.PlacementCount("a") == 1 })
+	}, func() bool { return receiver.PlacementCount("a") == 1 })
 	model := site.Service{Name: "model", Engine: &site.Engine{Slots: 4, Memory: 1e6, Step: time.Millisecond, ReadRate: 1e5, Chunk: 2048}}
-	for name, holds := range map[string]bool{"heavy": true, "light": false} {
-		p, ok := board.Place(0, model, []backend.Server{{ID: "a", Slots: 4}, {ID: "b", Slots: 4}}, schedule.Request{
+	for name, mostOfTime := range map[string]bool{"heavy": true, "light": false} {
+		p, ok := receiver.Place(0, model, []backend.Server{{ID: "a", Slots: 4}, {ID: "b", Slots: 4}}, schedule.Request{
 			Work: schedule.Work{Prompt: 10_000}, Workspace: schedule.HashWorkspace(name),
 		})
-		board.RecordEnd(p.ID)
-		if most := p.Share.Fraction > 0.8; !ok || most != holds {
-			t.Errorf("%s holds %.2f of the engines' time", name, p.Share.Fraction)
+		receiver.RecordEnd(p.ID)
+		if most := p.Share.Fraction > 0.8; !ok || most != mostOfTime {
+			t.Errorf("workspace %s has a share of %.2f of the engines' time", name, p.Share.Fraction)
 		}
 	}
 }
 
-func TestMalformedNewsIsDropped(t *testing.T) {
-	there, _, _ := listen(t, 1)
-	_, board, addr := listen(t, 2)
+func TestMalformedDatagramsAreIgnored(t *testing.T) {
+	sender, _, _ := listen(t, 1)
+	_, receiver, addr := listen(t, 2)
 	c, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		t.Fatal(err)
@@ -92,19 +94,21 @@
 	for _, b := range [][]byte{nil, {0xff}, []byte("no news"), {0xa1, 0x01}} {
 		_, _ = c.Write(b)
 	}
-	there.SetRoutes(broadcast.Routes{Direct: []netip.AddrPort{addr}})
+	sender.SetRoutes(broadcast.Routes{Direct: []netip.AddrPort{addr}})
 	p := schedule.Placement{ID: schedule.ID{Host: 1, Number: 1}, Lead: "a"}
-	until(t, "news is heard after it", func() { there.SendPlacement(p) }, func() bool { return board.PlacementCount("a") == 1 })
+	until(t, "update after malformed datagrams not recorded", func() { sender.SendPlacement(p) }, func() bool { return receiver.PlacementCount("a") == 1 })
 }
 
-func until(t *testing.T, what string, do func(), done func() bool) {
+// until calls do until done returns true, and fails the test with the given failure after
+// testTimeout.
+func until(t *testing.T, failure string, do func(), done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		do()
 		if done() {
 			return
 		}
 		_ = pause.For(context.Background(), 5*time.Millisecond) // never ends early
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("after %v: %s", testTimeout, failure)
 }
--- a/daemon/news/notice.go
+++ b/daemon/news/notice.go
@@ -12,60 +12,61 @@
 	"slipcrank.example/daemon/event"
 )
 
-// NoticeHandlers are who takes in what other hosts ask and tell of what servers have said, with
-// the number of the host that does.
+// NoticeHandlers are called with the messages of other hosts about rate-limited and
+// leaving servers. The argument host is the number of the sending host.
 type NoticeHandlers struct {
-	// GrantRequest answers a question.
-	GrantRequest func(host uint32, q grant.Request) grant.Reply
-	// GrantReply takes in an answer.
+	// GrantRequest returns the reply to a grant request.
+	GrantRequest func(host uint32, r grant.Request) grant.Reply
+	// GrantReply handles the reply to a grant request of this host.
 	GrantReply func(host uint32, r grant.Reply)
-	// Limit takes in that a server names another limit.
+	// Limit handles a changed limit of a server.
 	Limit func(host uint32, server string, l notice.Limit)
-	// Leaving takes in that a server says it leaves.
+	// Leaving handles the report that a server is about to shut down.
 	Leaving func(host uint32, server string)
-	// Placement takes in that a host sends a request to a server.
+	// Placement handles a placement that is led by a server.
 	Placement func(server string)
 }
 
-// SetNoticeHandlers sets who takes that in. It is called before Run.
-func (n *Exchange) SetNoticeHandlers(t NoticeHandlers) { n.notices = t }
+// SetNoticeHandlers sets the handlers. It must be called before Run.
+func (n *Exchange) SetNoticeHandlers(h NoticeHandlers) { n.notices = h }
 
-// SendGrantRequest asks one host for a request to a limited server.
-func (n *Exchange) SendGrantRequest(to netip.AddrPort, q grant.Request) {
-	n.sendTo(to, message{Kind: asked, Number: q.ID, Lead: q.Server, Hall: q.Hall, Ping: q.Ping}.withLimit(q.Limit))
+// SendGrantRequest asks the host at an address to grant one request to a limited server.
+func (n *Exchange) SendGrantRequest(to netip.AddrPort, r grant.Request) {
+	n.sendTo(to, message{Kind: kindGrantRequest, Number: r.ID, Lead: r.Server, Hall: r.Hall, Ping: r.Ping}.withLimit(r.Limit))
 }
 
-// SendLimit tells others that a server names another limit.
+// SendLimit reports a changed limit of a server to other hosts.
 func (n *Exchange) SendLimit(host uint32, server string, l notice.Limit) {
-	n.send(message{Kind: limited, Host: host, Lead: server}.withLimit(l))
+	n.send(message{Kind: kindLimit, Host: host, Lead: server}.withLimit(l))
 }
 
-// SendLeaving tells others that a server says it leaves.
+// SendLeaving reports to other hosts that a server is about to shut down.
 func (n *Exchange) SendLeaving(host uint32, server string) {
-	n.send(message{Kind: leaves, Host: host, Lead: server})
+	n.send(message{Kind: kindLeaving, Host: host, Lead: server})
 }
 
-// takeNotice takes in a message about what a server has said.
-func (n *Exchange) takeNotice(m message, from netip.AddrPort) {
+// applyNotice passes a message about a limited or leaving server to its handler, and
+// replies to a grant request.
+func (n *Exchange) applyNotice(m message, from netip.AddrPort) {
 	l := notice.Limit{Version: m.LimitVersion, Limited: m.Limited, Rate: m.Rate}
 	if err := l.Validate(); err != nil {
 		n.log.Write(event.NewsLost, slog.String("from", from.String()), slog.String("error", err.Error()))
 		return
 	}
 	switch m.Kind {
-	case asked:
+	case kindGrantRequest:
 		r := n.notices.GrantRequest(m.Host, grant.Request{ID: m.Number, Server: m.Lead, Hall: m.Hall, Limit: l, Ping: m.Ping})
 		n.sendTo(from, message{
-			Kind: granted, Number: r.ID, Lead: r.Server, Granted: r.Granted, WaitMS: (r.Wait + time.Millisecond - 1).Milliseconds(),
+			Kind: kindGrantReply, Number: r.ID, Lead: r.Server, Granted: r.Granted, WaitMS: (r.Wait + time.Millisecond - 1).Milliseconds(),
 		}.withLimit(r.Limit))
-	case granted:
+	case kindGrantReply:
 		n.notices.GrantReply(m.Host, grant.Reply{
 			ID: m.Number, Server: m.Lead, Limit: l, Granted: m.Granted,
 			Wait: time.Duration(m.WaitMS) * time.Millisecond,
 		})
-	case limited:
+	case kindLimit:
 		n.notices.Limit(m.Host, m.Lead, l)
-	case leaves:
+	case kindLeaving:
 		n.notices.Leaving(m.Host, m.Lead)
 	}
 }
@@ -76,13 +77,13 @@
 	return m
 }
 
-// sendTo tells one host alone.
+// sendTo sends a message to a single host.
 func (n *Exchange) sendTo(to netip.AddrPort, m message) {
-	m.Host = n.board.Host()
+	m.Host = n.scheduler.Host()
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		n.log.Write(event.NewsLost, slog.String("error", err.Error()))
 		return
 	}
-	n.transmit(datagram{Reach: toNobody, Messages: []cbor.RawMessage{b}}, []netip.AddrPort{to})
+	n.transmit(datagram{Scope: forwardToNone, Messages: []cbor.RawMessage{b}}, []netip.AddrPort{to})
 }
