--- a/daemon/entry/announce.go
+++ b/daemon/entry/announce.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// announcePeriod is how often a host writes its row anew, which also reads
-	// the platform's clock, so that its bound doesn't grow by drift.
-	announcePeriod = 2 * time.Minute
-	// announceTime bounds one write to the platform, and the pause after one
-	// that failed.
-	announceTime = 2 * time.Second
+	// announceInterval is the interval at which a host rewrites its row. Each write also
+	// reads the platform's clock, which keeps the bound on its offset from growing by
+	// drift.
+	announceInterval = 2 * time.Minute
+	// writeTimeout bounds one write to the platform, and the pause after a failed one.
+	writeTimeout = 2 * time.Second
 )
 
-// announce keeps a row at the platform that tells others of this host.
+// announce maintains this host's row in the platform's table of hosts, through which the
+// other hosts learn of it, until ctx ends.
 func (e *Entry) announce(ctx context.Context) {
 	s := e.settings.Load()
-	row, err := json.Marshal(watch.Host{Addr: s.Listen.News, Hall: s.Hall, Link: s.Link, Number: e.number})
+	row, err := json.Marshal(watch.Host{Addr: s.Listen.News, Hall: s.Hall, Link: s.Link, Number: e.startNumber})
 	if err != nil {
 		e.log.Write(event.NewsLost, slog.String("doing", "announce"), slog.String("error", err.Error()))
 		return
 	}
 	for ctx.Err() == nil {
-		c, cancel := context.WithTimeout(ctx, announceTime)
-		asked := e.watcher.Now()
+		c, cancel := context.WithTimeout(ctx, writeTimeout)
+		sent := e.watcher.Now()
 		stamp, err := e.platform.Source.Put(c, e.platform.Tables.Hosts, s.Host, row)
 		cancel()
 		if err == nil {
-			e.announced.CompareAndSwap(0, int64(e.clock.Now()))
-			e.watcher.ObserveClock(asked, stamp)
-			_ = pause.For(ctx, announcePeriod) // ctx is looked at above
+			e.announcedAt.CompareAndSwap(0, int64(e.clock.Now()))
+			e.watcher.ObserveClock(sent, stamp)
+			_ = pause.For(ctx, announceInterval) // the loop checks ctx
 			continue
 		}
 		e.log.Write(event.PlatformLost, slog.String("doing", "announce"), slog.String("error", err.Error()))
-		_ = pause.UpTo(ctx, announceTime) // ctx is looked at above
+		_ = pause.UpTo(ctx, writeTimeout) // the loop checks ctx
 	}
 }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -1,11 +1,12 @@
-// Package entry puts the daemon of an entry host together and runs it.
+// Package entry assembles and runs the daemon of an entry host, which accepts the
+// requests of callers and forwards them to backend servers.
 //
 // # Usage
 //
 //	e, err := entry.New(settings, entry.Platform{...})
 //	err = e.Start(ctx)
 //	<-signal
-//	e.Stop(ctx)     // a planned stop within the grace
+//	e.Stop(ctx)     // drains and stops within the grace period
 package entry
 
 import (
@@ -41,76 +42,79 @@
 )
 
 const (
-	// idleTime closes connections of callers that rest; above what any
-	// configuration lets callers keep them.
-	idleTime = 2 * time.Minute
-	// headerTime is for the head of a request to arrive.
-	headerTime = 10 * time.Second
-	// headerBytes bounds the head of a request.
-	headerBytes = 64 << 10
-	// upkeepPeriod is how often placements are swept and other hosts told that
-	// this one is there; connections are swept each sweepEvery times.
-	upkeepPeriod = 250 * time.Millisecond
-	sweepEvery   = 4
-	// proofsWithinBound is how many proofs of the configuration are asked for
-	// within the time in which a change has to be in force.
-	proofsWithinBound = 2
-	// retryPart is the part of the retry budget that is used: hosts count for
-	// themselves, and their windows do not begin together.
-	retryPart = 0.7
+	// idleTimeout closes idle connections of callers. It exceeds the idle time that any
+	// configuration allows callers.
+	idleTimeout = 2 * time.Minute
+	// headerTimeout bounds the time in which the header of a request must arrive.
+	headerTimeout = 10 * time.Second
+	// maxHeaderBytes bounds the size of the header of a request.
+	maxHeaderBytes = 64 << 10
+	// upkeepInterval is the interval at which placements are expired and heartbeats are
+	// sent. On every sweepTicks-th tick, idle connections are swept and the grants of
+	// servers that are no longer listed are dropped.
+	upkeepInterval = 250 * time.Millisecond
+	sweepTicks     = 4
+	// proofsPerBound is the number of proofs of the configuration that are requested
+	// within the time in which a change has to take effect.
+	proofsPerBound = 2
+	// retryFraction is the fraction of the retry budget that is used: each host counts
+	// its own retries only, and the windows of different hosts don't start at the same
+	// time.
+	retryFraction = 0.7
 )
 
 type (
-	// Platform is what an entry host needs of the platform it runs on.
+	// Platform holds an entry host's dependencies on the platform that it runs on.
 	Platform struct {
 		Source   feed.Source
 		Tables   watch.Tables
 		Decoders watch.Decoders
 		Dialect  gateway.Dialect
 		Orders   memory.Orders
-		// Dial opens connections to backend servers; nil for TCP with the bounds of
-		// [upstream.New].
+		// Dial opens connections to backend servers. If it is nil, they are TCP
+		// connections with the time-outs of [upstream.New].
 		Dial func(ctx context.Context, addr string) (net.Conn, error)
 	}
 
-	// Entry is the daemon.
+	// Entry is the daemon of an entry host.
 	Entry struct {
-		settings atomic.Pointer[settings.Entry]
-		platform Platform
-		log      *decision.Log
-		metrics  *telemetry.Metrics
-		watcher  *watch.Watcher
-		board    *schedule.Scheduler
-		pool     *upstream.Pool
-		gateway  *gateway.Gateway
-		news     *news.Exchange
-		// quarantine is what is known of requests under which servers ended.
+		settings  atomic.Pointer[settings.Entry]
+		platform  Platform
+		log       *decision.Log
+		metrics   *telemetry.Metrics
+		watcher   *watch.Watcher
+		scheduler *schedule.Scheduler
+		pool      *upstream.Pool
+		gateway   *gateway.Gateway
+		exchange  *news.Exchange
+		// quarantine stores the requests that are suspected of crashing servers.
 		quarantine *quarantine.Registry
-		// notices are what servers have said of themselves.
+		// notices stores the limits, backoffs and departures that servers report.
 		notices *notice.Registry
-		// grants hands out the requests that limited servers take from all hosts.
+		// grants shares the request rates of limited servers with the other hosts.
 		grants *grants.Keeper
-		// changed wakes who stores suspects, and known who routes news, since other hosts
-		// have changed.
-		changed  chan struct{}
-		known    chan struct{}
-		relays   *relay.Client
-		relay    *relay.Server
-		callers  *http.Server
-		cancel   context.CancelFunc
-		number   uint32 // of this start of this host
-		clock    *boottime.Clock
-		stopping atomic.Bool
-		unproven bool // as noteProof saw it last
-		// neighbors are the servers and hosts of this one's cell.
+		// storeSignal wakes storeSuspects after a change of the suspects, and
+		// routeSignal wakes upkeep after a change of the other hosts.
+		storeSignal  chan struct{}
+		routeSignal  chan struct{}
+		relayClient  *relay.Client
+		relayServer  *relay.Server
+		callerServer *http.Server
+		cancel       context.CancelFunc
+		startNumber  uint32 // identifies this start of this host
+		clock        *boottime.Clock
+		stopping     atomic.Bool
+		keysUnproven bool // last state that logProof has seen
+		// neighbors are the servers and the other hosts of this host's cell.
 		neighbors atomic.Pointer[neighbors]
-		// announced is when, from the start, others could first read of this
-		// host; zero before.
-		announced atomic.Int64
+		// announcedAt is the time since the start at which the platform first stored
+		// this host's row, in ns; zero before.
+		announcedAt atomic.Int64
 	}
 )
 
-// New puts a daemon together. It opens the socket for news only.
+// New assembles a daemon. The only socket that it opens is the one for updates of other
+// hosts.
 func New(s settings.Entry, p Platform) (*Entry, error) {
 	e := &Entry{
 		platform: p,
@@ -118,72 +122,76 @@
 		metrics:  telemetry.NewMetrics(),
 		clock:    boottime.New(),
 
-		quarantine: quarantine.NewRegistry(),
-		notices:    notice.NewRegistry(),
-		changed:    make(chan struct{}, 1),
-		known:      make(chan struct{}, 1),
+		quarantine:  quarantine.NewRegistry(),
+		notices:     notice.NewRegistry(),
+		storeSignal: make(chan struct{}, 1),
+		routeSignal: make(chan struct{}, 1),
 	}
 	e.neighbors.Store(&neighbors{cells: 1})
-	pool := []upstream.Option{upstream.WithMaxIdle(e.maxIdle)}
+	pool := []upstream.Option{upstream.WithMaxIdle(e.maxIdleConns)}
 	if p.Dial != nil {
 		pool = append(pool, upstream.WithDial(p.Dial))
 	}
 	e.pool = upstream.New(pool...)
 	e.settings.Store(&s)
-	e.number = hostNumber(s.Host, time.Now())
-	e.board = schedule.New(e.number)
-	n, err := news.Listen(s.Listen.News, e.board, e.log, e.clock.Now)
+	e.startNumber = newStartNumber(s.Host, time.Now())
+	e.scheduler = schedule.New(e.startNumber)
+	n, err := news.Listen(s.Listen.News, e.scheduler, e.log, e.clock.Now)
 	if err != nil {
 		return nil, err
 	}
-	e.news = n
-	p.Tables.ProofWait = s.Bounds.Config / proofsWithinBound
+	e.exchange = n
+	p.Tables.ProofWait = s.Bounds.Config / proofsPerBound
 	e.watcher = watch.New(p.Source, p.Tables, p.Decoders, e.log, e.metrics, e.setHosts)
 	e.watcher.SetClock(e.clock)
-	e.relays, e.relay = relay.NewClient(e.watcher, e.log), relay.NewServer(e.watcher)
+	e.relayClient, e.relayServer = relay.NewClient(e.watcher, e.log), relay.NewServer(e.watcher)
 	e.grants = grants.New(s.Host, s.Hall, e.notices, n.SendGrantRequest, e.clock.Now)
-	budget := limit.NewRetryWindow(s.Bounds.Retries.Span, s.Bounds.Retries.Share*retryPart, e.retrySlack)
-	e.gateway = gateway.New(p.Dialect, e.state, e.pool, e.board, budget, e.log, e.metrics,
+	budget := limit.NewRetryWindow(s.Bounds.Retries.Span, s.Bounds.Retries.Share*retryFraction, e.extraRetries)
+	e.gateway = gateway.New(p.Dialect, e.gatewayState, e.pool, e.scheduler, budget, e.log, e.metrics,
 		gateway.WithHall(s.Hall),
 		gateway.WithClock(e.clock),
-		gateway.WithMemory(memory.New(p.Orders, e.log, memory.WithGate(e.takesOrder))),
+		gateway.WithMemory(memory.New(p.Orders, e.log, memory.WithGate(e.orderAllowed))),
 		gateway.WithProof(gateway.Proof{Keys: e.keysTrusted, Config: e.configCurrent, Age: e.proofAge, Servers: e.serversAge}),
 		gateway.WithNews(n.SendPlacement, n.SendStart, n.SendEnd),
 		gateway.WithQuarantine(e.quarantine, e.suspectsChanged),
-		gateway.WithHosts(e.otherHosts),
-		gateway.WithEvidence(func(server string) { n.SendFailure(e.number, server) }),
+		gateway.WithHosts(e.witnessHosts),
+		gateway.WithEvidence(func(server string) { n.SendFailure(e.startNumber, server) }),
 		gateway.WithGrants(e.grants.Take),
 		gateway.WithNotices(e.notices, gateway.Tell{
-			Limit:   func(server string, l notice.Limit) { n.SendLimit(e.number, server, l) },
-			Leaving: func(server string) { n.SendLeaving(e.number, server) },
+			Limit:   func(server string, l notice.Limit) { n.SendLimit(e.startNumber, server, l) },
+			Leaving: func(server string) { n.SendLeaving(e.startNumber, server) },
 		}),
 	)
-	n.SetSuspectsHandler(e.hearSuspects)
+	n.SetSuspectsHandler(e.applySuspects)
 	n.SetNoticeHandlers(news.NoticeHandlers{
-		GrantRequest: e.grants.Answer, GrantReply: e.grants.Answered, Limit: e.hearLimit, Leaving: e.hearLeaving,
+		GrantRequest: e.grants.Answer, GrantReply: e.grants.Answered, Limit: e.applyLimit, Leaving: e.applyLeaving,
 		Placement: e.gateway.HearPlaced,
 	})
 	return e, nil
 }
 
-// hostNumber tells the placements of this start of this host from others.
-func hostNumber(name string, start time.Time) uint32 {
+// newStartNumber returns a number that distinguishes this start of this host from other
+// starts and hosts.
+func newStartNumber(name string, start time.Time) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name + start.String())) // never fails
 	return h.Sum32()
 }
 
-func (e *Entry) state() gateway.State {
+// gatewayState returns the state that the gateway works with.
+func (e *Entry) gatewayState() gateway.State {
 	s := e.watcher.State()
-	return gateway.State{Config: s.Config, Servers: s.Servers, Near: e.neighbors.Load().near}
+	return gateway.State{Config: s.Config, Servers: s.Servers, Near: e.neighbors.Load().servers}
 }
 
-// retrySlack is this host's part of the fixed number of retries.
-func (e *Entry) retrySlack() float64 {
-	return e.settings.Load().Bounds.Retries.Extra * retryPart / float64(e.neighbors.Load().others+1)
+// extraRetries returns this host's share of the number of retries that are allowed in
+// addition to the share of requests.
+func (e *Entry) extraRetries() float64 {
+	return e.settings.Load().Bounds.Retries.Extra * retryFraction / float64(e.neighbors.Load().otherHosts+1)
 }
 
-// Start listens and serves until Stop.
+// Start opens the listeners and starts to serve. It returns an error if a listener can't
+// be opened. The daemon runs until Stop is called.
 func (e *Entry) Start(ctx context.Context) error {
 	s := e.settings.Load()
 	l := s.Listen
@@ -191,22 +199,22 @@
 	if err != nil {
 		return err
 	}
-	e.callers = &http.Server{
+	e.callerServer = &http.Server{
 		Handler:           e.gateway,
-		IdleTimeout:       idleTime,
-		ReadHeaderTimeout: headerTime,
-		MaxHeaderBytes:    headerBytes,
+		IdleTimeout:       idleTimeout,
+		ReadHeaderTimeout: headerTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	ctx, e.cancel = context.WithCancel(ctx)
-	go e.serve(e.callers, listeners[0])
-	go e.serve(&http.Server{Handler: http.HandlerFunc(e.readiness), ReadHeaderTimeout: headerTime}, listeners[1])
-	go e.serve(&http.Server{Handler: e.operators(), ReadHeaderTimeout: headerTime}, listeners[2])
-	go e.serve(e.relay, listeners[3])
+	go e.serve(e.callerServer, listeners[0])
+	go e.serve(&http.Server{Handler: http.HandlerFunc(e.serveReadiness), ReadHeaderTimeout: headerTimeout}, listeners[1])
+	go e.serve(&http.Server{Handler: e.operatorHandler(), ReadHeaderTimeout: headerTimeout}, listeners[2])
+	go e.serve(e.relayServer, listeners[3])
 	if s.FirstStart {
-		e.watcher.SetAsking(watch.AskNothing, askersPause)
+		e.watcher.SetAsking(watch.AskNothing, maxReaderPause)
 	}
 	go e.watcher.Run(ctx)
-	go e.news.Run()
+	go e.exchange.Run()
 	go e.announce(ctx)
 	go e.storeSuspects(ctx)
 	go e.upkeep(ctx)
@@ -214,14 +222,15 @@
 	return nil
 }
 
-// listen opens listeners in order, or none.
+// listen opens TCP listeners on the addresses, in their order. If one can't be opened, it
+// closes the others.
 func listen(addrs ...string) ([]net.Listener, error) {
 	var open []net.Listener
 	for _, a := range addrs {
 		l, err := net.Listen("tcp4", a)
 		if err != nil {
 			for _, o := range open {
-				_ = o.Close() // the error before it is the one to tell
+				_ = o.Close() // the first error is the one to return
 			}
 			return nil, errors.Wrapf(err, "listen on %s", a)
 		}
@@ -230,17 +239,18 @@
 	return open, nil
 }
 
-// serve answers on l until its server is closed.
+// serve serves on l until s is closed, and logs any other error.
 func (e *Entry) serve(s interface{ Serve(net.Listener) error }, l net.Listener) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		e.log.Write(event.HandlerPanic, slog.String("listener", l.Addr().String()), slog.String("error", err.Error()))
 	}
 }
 
-// readiness answers the balancer: 200 while this host can serve by what is
-// proven. A host without a proof is cut off, or the platform is away: callers do
-// better at hosts that know more, and come here if there are none.
-func (e *Entry) readiness(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness answers the health checks of the load balancer, with 200 while this host
+// has a configuration, servers and proven keys. Without proven keys this host is cut off
+// from the platform, or the platform is down: the balancer then prefers hosts with proven
+// keys, and uses this host only if there are none.
+func (e *Entry) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	s := e.watcher.State()
 	if e.stopping.Load() || s.Config == nil || s.Servers.Len() == 0 || !e.keysProven() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -249,7 +259,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (e *Entry) figures(w http.ResponseWriter, _ *http.Request) {
+// serveMetrics answers with the metrics in the text format of Prometheus.
+func (e *Entry) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	e.metrics.Set("log_lines_dropped", e.log.Dropped())
 	e.metrics.Set("upstream_connections_opened", e.pool.Opened())
 	if age, ok := e.watcher.ConfigAge(); ok {
@@ -259,40 +270,41 @@
 		e.metrics.Set("servers_age_milliseconds", age.Milliseconds())
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	_, _ = w.Write([]byte(e.metrics.Text())) // the reader has gone: nothing to do
+	_, _ = w.Write([]byte(e.metrics.Text())) // fails only if the client has gone
 }
 
-// noteSuspension looks whether the machine was suspended. Servers have closed the
-// connections that rested meanwhile, and no packet has told.
-func (e *Entry) noteSuspension() {
+// detectSuspension checks whether this host was suspended, and closes the idle connections
+// if so: servers have closed them in the meantime, and the packets that say so were lost.
+func (e *Entry) detectSuspension() {
 	if d := e.clock.Refresh(); d > 0 {
 		e.log.Write(event.DaemonWoke, slog.Duration("suspended", d))
 		e.pool.Sweep(func(string) bool { return false })
 	}
 }
 
+// upkeep runs the periodic tasks until ctx ends.
 func (e *Entry) upkeep(ctx context.Context) {
-	tick := time.NewTicker(upkeepPeriod)
+	tick := time.NewTicker(upkeepInterval)
 	defer tick.Stop()
-	r := readers{}
+	st := sourceState{}
 	chooser, routes := broadcast.NewRouteChooser(), broadcast.Routes{}
 	for n := 0; ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.known:
-			routes = e.routeNews(chooser, routes)
-			e.tellSuspects(0)
+		case <-e.routeSignal:
+			routes = e.chooseRoutes(chooser, routes)
+			e.sendSuspects(0)
 		case <-tick.C:
-			e.noteSuspension()
-			e.board.Expire(e.clock.Now())
+			e.detectSuspension()
+			e.scheduler.Expire(e.clock.Now())
 			e.gateway.Upkeep(time.Now())
-			e.noteProof()
-			e.chooseReaders(&r)
-			routes = e.routeNews(chooser, routes)
-			e.news.SendHeartbeat(e.number)
-			e.tellSuspects(n)
-			if n++; n%sweepEvery == 0 {
+			e.logProof()
+			e.chooseSources(&st)
+			routes = e.chooseRoutes(chooser, routes)
+			e.exchange.SendHeartbeat(e.startNumber)
+			e.sendSuspects(n)
+			if n++; n%sweepTicks == 0 {
 				servers := e.watcher.State().Servers
 				e.pool.Sweep(servers.HasAddr)
 				e.grants.Keep(func(server string) bool { _, ok := servers.Get(server); return ok })
--- a/daemon/entry/neighbors.go
+++ b/daemon/entry/neighbors.go
@@ -14,72 +14,76 @@
 )
 
 const (
-	// fewServers is the least number of a service's servers in a cell; with
-	// fewer, hosts use all of the service.
-	fewServers = 8
-	// idleUnbounded is how many connections are kept to a server that names no
-	// bound: about two for each of an engine's slots.
-	idleUnbounded = 32
+	// minServersInCell is the minimum number of a service's servers in a cell. If there
+	// are fewer, the hosts of the cell use all servers of the service.
+	minServersInCell = 8
+	// defaultMaxIdle is the maximum number of idle connections to a server without a
+	// connection limit: about two for each slot of an engine.
+	defaultMaxIdle = 32
 )
 
-// neighbors are the servers and hosts of a host's cell: an immutable value.
+// neighbors holds the servers and hosts of a host's cell. It is an immutable value.
 type neighbors struct {
-	cells  int
-	others int                         // hosts of the whole fleet
-	mates  map[string]bool             // hosts of the cell, without this one
-	near   map[string][]backend.Server // by service, where not all are used
-	cell   broadcast.Hosts             // this host and its mates
+	cells      int                         // in the whole fleet
+	otherHosts int                         // in the whole fleet
+	peers      map[string]bool             // other hosts of the cell, by name
+	servers    map[string][]backend.Server // of the cell, by service; without services of which all are used
+	hosts      broadcast.Hosts             // this host and its peers
 }
 
-// divide returns the neighbors of a host.
+// divide returns the neighbors of a host after a change of hosts or servers, without the
+// field hosts. The number of cells depends on the largest service and on the current
+// number of cells in n.
 func (n *neighbors) divide(host string, others []watch.Host, servers *backend.View) *neighbors {
-	most := 0
+	largest := 0
 	for _, name := range servers.Services() {
-		most = max(most, len(servers.Ready(name)))
+		largest = max(largest, len(servers.Ready(name)))
 	}
 	names := []string{host}
 	for _, o := range others {
 		names = append(names, o.Name)
 	}
-	out := &neighbors{cells: cell.Count(most, n.cells), others: len(others), near: map[string][]backend.Server{}}
-	mine, mates := cell.OfHost(host, names, out.cells)
-	out.mates = mates
+	out := &neighbors{cells: cell.Count(largest, n.cells), otherHosts: len(others), servers: map[string][]backend.Server{}}
+	own, peers := cell.OfHost(host, names, out.cells)
+	out.peers = peers
 	if out.cells == 1 {
 		return out
 	}
 	for _, name := range servers.Services() {
-		var near []backend.Server
+		var inCell []backend.Server
 		for _, s := range servers.Ready(name) {
-			if cell.OfServer(s.PlatformID(), out.cells) == mine {
-				near = append(near, s)
+			if cell.OfServer(s.PlatformID(), out.cells) == own {
+				inCell = append(inCell, s)
 			}
 		}
-		if len(near) >= fewServers {
-			out.near[name] = near
+		if len(inCell) >= minServersInCell {
+			out.servers[name] = inCell
 		}
 	}
 	return out
 }
 
-// setHosts takes in who the other hosts are, and what servers there are now.
+// setHosts updates everything that depends on the platform's lists of hosts and servers,
+// of which the watcher has read a new version.
 func (e *Entry) setHosts(hosts []watch.Host) {
-	e.hearStored(e.watcher.State().Suspects)
+	e.mergeStoredSuspects(e.watcher.State().Suspects)
 	own := e.settings.Load()
-	others := e.others(hosts)
+	others := e.excludeOwn(hosts)
 	old := e.neighbors.Load()
 	now := old.divide(own.Host, others, e.watcher.State().Servers)
-	now.cell = e.cellHosts(own, others, now.mates)
+	now.hosts = e.cellHosts(own, others, now.peers)
 	e.neighbors.Store(now)
-	e.setHolders(others)
-	if now.others != old.others || now.cells != old.cells || len(now.mates) != len(old.mates) {
-		e.log.Write(event.HostsChanged, slog.Int("others", now.others), slog.Int("cells", now.cells), slog.Int("told", len(now.mates)))
-		wake(e.known)
+	e.setGrantHosts(others)
+	if now.otherHosts != old.otherHosts || now.cells != old.cells || len(now.peers) != len(old.peers) {
+		e.log.Write(event.HostsChanged, slog.Int("others", now.otherHosts), slog.Int("cells", now.cells), slog.Int("told", len(now.peers)))
+		signal(e.routeSignal)
 	}
-	e.metrics.Set("other_hosts", int64(now.others))
+	e.metrics.Set("other_hosts", int64(now.otherHosts))
 }
 
-// others returns the hosts without this one, also in an earlier start at its address.
-func (e *Entry) others(hosts []watch.Host) []watch.Host {
+// excludeOwn returns the hosts without this host, under its current name or an earlier
+// one with the same address.
+func (e *Entry) excludeOwn(hosts []watch.Host) []watch.Host {
 	own := e.settings.Load()
 	var out []watch.Host
 	for _, h := range hosts {
@@ -90,11 +94,12 @@
 	return out
 }
 
-// cellHosts are the hosts of the cell that can be told news.
-func (e *Entry) cellHosts(own *settings.Entry, others []watch.Host, mates map[string]bool) broadcast.Hosts {
+// cellHosts returns the hosts of the cell to which updates can be sent. It skips and logs
+// hosts with a malformed address.
+func (e *Entry) cellHosts(own *settings.Entry, others []watch.Host, peers map[string]bool) broadcast.Hosts {
 	var hosts []broadcast.Host
 	for _, h := range others {
-		if !mates[h.Name] {
+		if !peers[h.Name] {
 			continue
 		}
 		a, err := netip.ParseAddrPort(h.Addr)
@@ -104,17 +109,18 @@
 		}
 		hosts = append(hosts, broadcast.Host{Name: h.Name, Hall: h.Hall, Addr: a, Link: h.Link, StartNumber: h.Number})
 	}
-	return broadcast.NewHosts(broadcast.Host{Name: own.Host, Hall: own.Hall, Link: own.Link, StartNumber: e.number}, hosts)
+	return broadcast.NewHosts(broadcast.Host{Name: own.Host, Hall: own.Hall, Link: own.Link, StartNumber: e.startNumber}, hosts)
 }
 
-// routeNews decides anew by whom this host's news reach the cell.
-func (e *Entry) routeNews(c *broadcast.RouteChooser, old broadcast.Routes) broadcast.Routes {
+// chooseRoutes chooses the routes by which this host's updates reach its cell, and logs
+// them if they differ from the old ones.
+func (e *Entry) chooseRoutes(c *broadcast.RouteChooser, old broadcast.Routes) broadcast.Routes {
 	now := e.clock.Now()
-	r := c.Choose(now, e.neighbors.Load().cell, broadcast.Liveness{
-		Alive:        func(number uint32) bool { return e.board.HostAlive(number, now) },
-		LastReceived: e.news.LastReceived,
+	r := c.Choose(now, e.neighbors.Load().hosts, broadcast.Liveness{
+		Alive:        func(number uint32) bool { return e.scheduler.HostAlive(number, now) },
+		LastReceived: e.exchange.LastReceived,
 	})
-	e.news.SetRoutes(r)
+	e.exchange.SetRoutes(r)
 	if r.Forwarder != old.Forwarder || !slices.Equal(r.Remote, old.Remote) {
 		e.log.Write(event.NewsRouted, slog.String("forwarder", r.Forwarder.String()),
 			slog.Any("remote", r.Remote), slog.Int("hall", len(r.Hall)), slog.Int("direct", len(r.Direct)))
@@ -122,9 +128,10 @@
 	return r
 }
 
-// maxIdle is how many connections to a server this host may keep, so that all
-// that use the server leave half of what it takes to those in use.
-func (e *Entry) maxIdle(addr string) int {
+// maxIdleConns returns the maximum number of idle connections to the server at an address.
+// The idle connections of all hosts that use the server take at most half of its
+// connection limit, so that the other half is left for connections in use.
+func (e *Entry) maxIdleConns(addr string) int {
 	s := e.watcher.State()
 	server, known := s.Servers.Find(addr)
 	if !known || s.Config == nil {
@@ -132,12 +139,12 @@
 	}
 	service, _ := s.Config.Service(server.Service)
 	if service.MaxConns <= 0 {
-		return idleUnbounded
+		return defaultMaxIdle
 	}
 	n := e.neighbors.Load()
-	sharing := n.others + 1
-	if _, part := n.near[server.Service]; part {
-		sharing = len(n.mates) + 1
+	users := n.otherHosts + 1
+	if _, divided := n.servers[server.Service]; divided {
+		users = len(n.peers) + 1
 	}
-	return max(service.MaxConns/2/sharing, 1)
+	return max(service.MaxConns/2/users, 1)
 }
--- a/daemon/entry/neighbors_test.go
+++ b/daemon/entry/neighbors_test.go
@@ -7,8 +7,9 @@
 	"slipcrank.example/core/backend"
 )
 
-// fleet returns servers of a model and of a plain service.
-func fleet(engines, plain int) *backend.View {
+// testServers returns servers of a service named model, which are engines, and of one named
+// plain.
+func testServers(engines, plain int) *backend.View {
 	b := backend.NewRegistry()
 	for n := range engines {
 		b.Put(backend.Server{ID: fmt.Sprintf("engine-%d", n), Service: "model", Addr: fmt.Sprintf("10.0.0.1:%d", n+1)}, 1)
@@ -19,42 +20,44 @@
 	return b.View(0)
 }
 
+// TestDivide checks the cell of each host of a site, and that every engine is in the cell
+// of some host.
 func TestDivide(t *testing.T) {
 	for name, tc := range map[string]struct {
 		perHall, engines, plain int
-		mates                   [2]int // least and most
-		model                   [2]int // servers used, -1 for all
-		plainUsed               int
+		peers                   [2]int // minimum and maximum number
+		model                   [2]int // minimum and maximum number of engines in the cell, -1 if not divided
+		minPlain                int    // minimum number of plain servers in the cell, -1 if not divided
 	}{
-		"a usual site":      {2, 18, 3, [2]int{5, 5}, [2]int{-1, -1}, -1},
-		"a grown one":       {25, 60, 6, [2]int{74, 74}, [2]int{-1, -1}, -1},
-		"a hundred hosts":   {33, 999, 33, [2]int{5, 6}, [2]int{40, 90}, -1},
-		"three hundred":     {100, 3000, 90, [2]int{8, 9}, [2]int{60, 130}, -1},
-		"many plain ones":   {33, 999, 999, [2]int{5, 6}, [2]int{40, 90}, 40},
-		"no server is here": {2, 0, 0, [2]int{5, 5}, [2]int{-1, -1}, -1},
+		"six hosts, one cell":     {2, 18, 3, [2]int{5, 5}, [2]int{-1, -1}, -1},
+		"75 hosts, one cell":      {25, 60, 6, [2]int{74, 74}, [2]int{-1, -1}, -1},
+		"99 hosts, 999 engines":   {33, 999, 33, [2]int{5, 6}, [2]int{40, 90}, -1},
+		"300 hosts, 3000 engines": {100, 3000, 90, [2]int{8, 9}, [2]int{60, 130}, -1},
+		"many plain servers":      {33, 999, 999, [2]int{5, 6}, [2]int{40, 90}, 40},
+		"no servers":              {2, 0, 0, [2]int{5, 5}, [2]int{-1, -1}, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hosts, servers := site(tc.perHall), fleet(tc.engines, tc.plain)
-			served := map[string]bool{}
+			hosts, servers := testHosts(tc.perHall), testServers(tc.engines, tc.plain)
+			used := map[string]bool{}
 			for i, h := range hosts {
 				others := append(append(hosts[:0:0], hosts[:i]...), hosts[i+1:]...)
 				n := (&neighbors{cells: 1}).divide(h.Name, others, servers)
-				if m := len(n.mates); m < tc.mates[0] || m > tc.mates[1] {
-					t.Fatalf("%s has %d mates, want %v", h.Name, m, tc.mates)
+				if m := len(n.peers); m < tc.peers[0] || m > tc.peers[1] {
+					t.Fatalf("%s has %d peers, want %v", h.Name, m, tc.peers)
 				}
-				model, part := n.near["model"]
-				if part != (tc.model[0] >= 0) || part && (len(model) < tc.model[0] || len(model) > tc.model[1]) {
-					t.Fatalf("%s uses %d engines, a part: %v, want %v", h.Name, len(model), part, tc.model)
+				model, divided := n.servers["model"]
+				if divided != (tc.model[0] >= 0) || divided && (len(model) < tc.model[0] || len(model) > tc.model[1]) {
+					t.Fatalf("%s has %d engines in its cell, divided: %v, want %v", h.Name, len(model), divided, tc.model)
 				}
-				if plain, part := n.near["plain"]; part != (tc.plainUsed >= 0) || len(plain) < tc.plainUsed {
-					t.Fatalf("%s uses %d plain servers, want %d", h.Name, len(plain), tc.plainUsed)
+				if plain, divided := n.servers["plain"]; divided != (tc.minPlain >= 0) || len(plain) < tc.minPlain {
+					t.Fatalf("%s has %d plain servers in its cell, want %d", h.Name, len(plain), tc.minPlain)
 				}
 				for _, s := range model {
-					served[s.ID] = true
+					used[s.ID] = true
 				}
 			}
-			if tc.model[0] >= 0 && len(served) != tc.engines {
-				t.Errorf("%d of %d engines are used by any host", len(served), tc.engines)
+			if tc.model[0] >= 0 && len(used) != tc.engines {
+				t.Errorf("%d of %d engines are in the cell of a host", len(used), tc.engines)
 			}
 		})
 	}
--- a/daemon/entry/notices.go
+++ b/daemon/entry/notices.go
@@ -15,9 +15,10 @@
 	"slipcrank.example/daemon/watch"
 )
 
-// setHolders sets the hosts that may hand out the requests of limited servers: all of
-// the fleet, since hosts of several cells use the servers of small services.
-func (e *Entry) setHolders(others []watch.Host) {
+// setGrantHosts sets the hosts that may hold the buckets of rate-limited servers. These
+// are all hosts of the fleet, since hosts of several cells use the servers of small
+// services. It skips and logs hosts with a malformed address.
+func (e *Entry) setGrantHosts(others []watch.Host) {
 	hosts := make([]grants.Host, 0, len(others))
 	for _, h := range others {
 		a, err := netip.ParseAddrPort(h.Addr)
@@ -31,35 +32,36 @@
 	e.grants.SetHosts(hosts)
 }
 
-// hearLimit takes in what another host tells of a server's limit, if it is one that
-// the platform's table names.
-func (e *Entry) hearLimit(host uint32, server string, l notice.Limit) {
-	if !e.listed(host) {
+// applyLimit applies a server's limit reported by another host. It ignores hosts that are
+// not in the platform's table of hosts.
+func (e *Entry) applyLimit(host uint32, server string, l notice.Limit) {
+	if !e.hostListed(host) {
 		e.metrics.Count("notices_of_unknown_hosts", 1)
 		return
 	}
 	e.gateway.HearLimit(strconv.FormatUint(uint64(host), 10), server, l)
 }
 
-// hearLeaving takes in what another host tells of a server that leaves, if it is one
-// that the platform's table names.
-func (e *Entry) hearLeaving(host uint32, server string) {
-	if !e.listed(host) {
+// applyLeaving applies another host's report that a server is leaving. It ignores hosts
+// that are not in the platform's table of hosts.
+func (e *Entry) applyLeaving(host uint32, server string) {
+	if !e.hostListed(host) {
 		e.metrics.Count("notices_of_unknown_hosts", 1)
 		return
 	}
 	e.gateway.HearLeaving(strconv.FormatUint(uint64(host), 10), server)
 }
 
-// takesOrder reports whether a server takes an order now, by what it has said, and after
-// how long it does if not.
-func (e *Entry) takesOrder(ctx context.Context, addr string) (bool, time.Duration) {
+// orderAllowed reports whether an order may be sent now to the server at an address, given
+// the backoff and the limit that the server has reported. If not, it returns the time
+// until it may be.
+func (e *Entry) orderAllowed(ctx context.Context, addr string) (bool, time.Duration) {
 	s, known := e.watcher.State().Servers.Find(addr)
 	if !known {
 		return true, 0
 	}
-	if rest := e.notices.Backoff(s.ID, e.clock.Now()); rest > 0 {
-		return false, rest
+	if backoff := e.notices.Backoff(s.ID, e.clock.Now()); backoff > 0 {
+		return false, backoff
 	}
 	return e.grants.Take(ctx, s)
 }
--- a/daemon/entry/operators.go
+++ b/daemon/entry/operators.go
@@ -10,25 +10,25 @@
 	"slipcrank.example/daemon/event"
 )
 
-// maxOrder bounds what an operator sends, in bytes.
-const maxOrder = 4 << 10
+// maxBodyBytes bounds the body of an operator's request.
+const maxBodyBytes = 4 << 10
 
 type (
-	// suspectStatus is a request under which servers ended, for operators.
+	// suspectStatus describes a suspect to operators.
 	suspectStatus struct {
-		Print     string `json:"print"`
-		Same      string `json:"same"`
-		Workspace string `json:"workspace"`
-		Stage     string `json:"stage"`
-		Ended     int    `json:"ended"`
+		Fingerprint string `json:"print"`
+		HeadHash    string `json:"same"`
+		Workspace   string `json:"workspace"`
+		Stage       string `json:"stage"`
+		Crashes     int    `json:"ended"` // number of crashed servers
 	}
 
 	suspectsReply struct {
 		Suspects []suspectStatus `json:"suspects"`
 	}
 
-	pardonOrder struct {
-		Print quarantine.Fingerprint `json:"print"`
+	pardonRequest struct {
+		Fingerprint quarantine.Fingerprint `json:"print"`
 	}
 
 	pardonReply struct {
@@ -46,12 +46,13 @@
 	}
 )
 
-// operators answers on the address for metrics.
-func (e *Entry) operators() http.Handler {
+// operatorHandler returns the handler of the metrics address, which also serves the
+// operators' requests about suspects.
+func (e *Entry) operatorHandler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/suspects", e.listSuspects)
 	m.HandleFunc("POST /v1/suspects/pardon", e.pardonSuspect)
-	m.HandleFunc("/", e.figures)
+	m.HandleFunc("/", e.serveMetrics)
 	return m
 }
 
@@ -59,21 +60,22 @@
 	reply := suspectsReply{Suspects: []suspectStatus{}}
 	for _, r := range e.quarantine.Records() {
 		reply.Suspects = append(reply.Suspects, suspectStatus{
-			Print: r.Fingerprint.String(), Same: r.HeadHash.String(), Workspace: r.Workspace, Stage: r.Stage().String(), Ended: len(r.Crashes),
+			Fingerprint: r.Fingerprint.String(), HeadHash: r.HeadHash.String(), Workspace: r.Workspace, Stage: r.Stage().String(), Crashes: len(r.Crashes),
 		})
 	}
 	e.reply(w, http.StatusOK, reply)
 }
 
 func (e *Entry) pardonSuspect(w http.ResponseWriter, r *http.Request) {
-	var o pardonOrder
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrder)).Decode(&o); err != nil {
+	var req pardonRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&req); err != nil {
 		e.reply(w, http.StatusBadRequest, errorReply{errorBody{fault.BadRequest, err.Error(), "take the print from slipcrank suspects list"}})
 		return
 	}
-	e.reply(w, http.StatusOK, pardonReply{e.gateway.Pardon(o.Print)})
+	e.reply(w, http.StatusOK, pardonReply{e.gateway.Pardon(req.Fingerprint)})
 }
 
+// reply answers an operator's request with v in JSON.
 func (e *Entry) reply(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/daemon/entry/readers.go
+++ b/daemon/entry/readers.go
@@ -12,255 +12,258 @@
 )
 
 const (
-	// readersKey is what hosts are ranked by.
-	readersKey = "readers"
-	// hallReaders is how many hosts of a hall tell the others of it. With two,
-	// the loss of one delays nothing.
-	hallReaders = 2
-	// hallAsking is how many of them always ask the platform, where there are
-	// other halls: the second hears what another hall's tells.
-	hallAsking = 1
-	// hallAskers is how many of a hall ask often while nobody tells news: if
-	// the platform turns away half of all hosts, less than one hall in 200
-	// has none among them that it serves.
-	hallAskers = 8
-	// heardHosts is how many hosts one that isn't a reader hears: those that
-	// stand above it in a tree in which each has fanout hosts below it, and as
-	// many again that hear it as their second.
-	heardHosts = 2
-	fanout     = 16
-	// askMargin is how long before the age at which a change has to be in
-	// force hosts that are told by others begin to ask the platform.
-	askMargin = 300 * time.Millisecond
-	// askStep lies between doublings of how many of a hall ask.
-	askStep = 300 * time.Millisecond
-	// askTime is how long a host then goes on, so that it doesn't change its
-	// mind with each answer.
-	askTime = 3 * time.Second
-	// askersPause and othersPause are the longest pauses between questions
-	// that fail, of the first hallAskers of a hall and, for each host of the
-	// hall, of the others. Eight that ask within 1.5 s see an outage's end after
-	// a tenth of a second; the others ask ten times a second together.
-	askersPause = 1500 * time.Millisecond
-	othersPause = 200 * time.Millisecond
-	// othersLeast is the least of the latter.
-	othersLeast = 4 * time.Second
-	// aloneTime is how long a host that the platform serves may be told nothing
-	// beyond the time at which it begins to ask, before it asks for all.
-	aloneTime = 2 * time.Second
-	// otherHalls is how many hosts of other halls a reader hears, and
-	// otherHallsStale how many while it has no news.
-	otherHalls      = 1
-	otherHallsStale = 4
-	// youngTime is how long after it first knew others a host takes all of
-	// them for alive: a few of the messages by which they tell that they are.
-	youngTime = 2 * time.Second
-	// settleTime is how long a host waits, at the first start of the whole
-	// site, for the others to announce themselves.
-	settleTime = time.Second
-	// lonelyTime is how long a host waits to know others before it asks for
-	// everything itself.
-	lonelyTime = 3 * time.Second
+	// rankKey is the key by which the hosts of a hall are ranked. The first ones are the
+	// readers: they read the platform's tables, and relay them to the other hosts.
+	rankKey = "readers"
+	// readersPerHall is the number of readers of a hall. With two, the loss of one
+	// delays nothing.
+	readersPerHall = 2
+	// queryingReaders is the number of readers of a hall that always query the platform,
+	// if there are other halls: the second reader gets what it needs from a reader of
+	// another hall.
+	queryingReaders = 1
+	// maxQuerying is the maximum number of hosts of a hall that query the platform for
+	// all tables while no updates are relayed. If the platform rejects half of all hosts,
+	// less than one hall in 200 has none among them that it serves.
+	maxQuerying = 8
+	// sourcesPerHost is the number of sources of a host that isn't a reader. They are
+	// its parent in a tree in which each host has fanout children, and the host ranked
+	// after that, which thereby is the second source of as many hosts.
+	sourcesPerHost = 2
+	fanout         = 16
+	// queryMargin is how long before the age at which a change has to be in force
+	// further hosts begin to query the platform, because no proofs are relayed to them.
+	queryMargin = 300 * time.Millisecond
+	// escalationInterval is the interval at which the number of querying hosts of a hall
+	// doubles.
+	escalationInterval = 300 * time.Millisecond
+	// minChoiceTime is how long a host at least keeps querying all tables, and keeps
+	// additional sources, so that its choice doesn't change with each answer.
+	minChoiceTime = 3 * time.Second
+	// maxReaderPause is the maximum pause after a failed query of the first maxQuerying
+	// hosts of a hall. That of the other hosts is maxPausePerHost for each host of the
+	// hall, and at least minOtherPause. Eight hosts that query within 1.5 s detect the
+	// end of an outage after a tenth of a second; the other hosts together make ten
+	// queries per second.
+	maxReaderPause  = 1500 * time.Millisecond
+	maxPausePerHost = 200 * time.Millisecond
+	minOtherPause   = 4 * time.Second
+	// relayTimeout is how long a host that the platform serves gets no relayed proofs,
+	// after it has begun to query the configuration, before it queries all tables.
+	relayTimeout = 2 * time.Second
+	// remoteSources is the number of sources of a reader in other halls, and
+	// remoteSourcesStale the number while it has no recent proof.
+	remoteSources      = 1
+	remoteSourcesStale = 4
+	// assumedAliveTime is how long a host considers all other hosts alive after it first
+	// learned of any: several heartbeat intervals.
+	assumedAliveTime = 2 * time.Second
+	// announceWait is how long a host waits, at the first start of the whole site, for
+	// the other hosts to announce themselves.
+	announceWait = time.Second
+	// discoveryTimeout is how long a host waits to learn of other hosts, at the first
+	// start of the whole site, before it queries all tables itself.
+	discoveryTimeout = 3 * time.Second
 )
 
 type (
-	// situation is what decides whom a host hears and what it asks.
-	situation struct {
+	// sourceInput is what the choice of a host's sources and queries depends on.
+	sourceInput struct {
 		host, hall string
-		link       float64      // of this host, in Mbit/s
+		link       float64      // bandwidth of this host's link in Mbit/s
 		others     []watch.Host // that are alive
-		// told is the age of the newest proof that others told, proven that of
-		// the newest of any origin.
-		told, proven time.Duration
-		// listOld is for how long the list of servers has been older than the bound
+		// relayedAge is the age of the newest proof of the configuration that other
+		// hosts relayed, provenAge that of the newest proof from anywhere.
+		relayedAge, provenAge time.Duration
+		// serversStaleFor is how long the list of servers has been older than bound
 		// while the configuration was proven.
-		listOld time.Duration
-		bound   time.Duration // within which a change has to be in force
+		serversStaleFor time.Duration
+		bound           time.Duration // within which a change has to be in force
 	}
 
-	// choice is whom a host hears and whether it asks the platform.
-	choice struct {
-		hear   []string
-		asking watch.Asking
-		pause  time.Duration // the longest between questions that fail
+	// sourceChoice is which hosts relay the platform's tables to this host, and what it
+	// queries from the platform itself.
+	sourceChoice struct {
+		sources []string // addresses
+		queries watch.Asking
+		pause   time.Duration // maximum pause after a failed query
 	}
 
-	// readers is what a host has chosen.
-	readers struct {
-		choice
-		known       time.Time // when others were known first
-		asks, wider time.Time // until then it asks for all, or hears more than usual
-		listOld     time.Time // since when its list of servers is too old, zero if it isn't
+	// sourceState is the choice in effect and its history.
+	sourceState struct {
+		sourceChoice
+		othersKnownAt         time.Time // when this host first knew of other hosts
+		queryUntil, wideUntil time.Time // until then it queries all tables, or keeps additional sources
+		serversStaleSince     time.Time // since when the list of servers is too old, zero if it isn't
 	}
 )
 
-// choose decides whom a host hears and whether it asks the platform.
-func (s situation) choose() choice {
-	hall, others, addrs := []string{s.host}, []string{}, map[string]string{}
-	links := map[string]float64{s.host: s.link}
-	for _, h := range s.others {
+// choose returns the sources of a host and its queries.
+func (in sourceInput) choose() sourceChoice {
+	hall, others, addrs := []string{in.host}, []string{}, map[string]string{}
+	links := map[string]float64{in.host: in.link}
+	for _, h := range in.others {
 		addrs[h.Name], links[h.Name] = h.Addr, h.Link
-		if h.Hall == s.hall {
+		if h.Hall == in.hall {
 			hall = append(hall, h.Name)
 		} else {
 			others = append(others, h.Name)
 		}
 	}
-	// Wide links first, for reading and for telling others.
-	hall, others = route.RankByLink(readersKey, hall, links), route.RankByLink(readersKey, others, links)
-	place := slices.Index(hall, s.host)
-	c := choice{asking: s.asking(place, len(others) > 0), pause: max(othersLeast, time.Duration(len(hall))*othersPause)}
-	if place < hallAskers {
-		c.pause = askersPause
+	// Hosts with fast links come first, since readers relay to many hosts.
+	hall, others = route.RankByLink(rankKey, hall, links), route.RankByLink(rankKey, others, links)
+	rank := slices.Index(hall, in.host)
+	c := sourceChoice{queries: in.queriesAt(rank, len(others) > 0), pause: max(minOtherPause, time.Duration(len(hall))*maxPausePerHost)}
+	if rank < maxQuerying {
+		c.pause = maxReaderPause
 	}
-	near, far := hallReaders, 0
-	if place < hallReaders {
-		far = otherHalls
+	local, remote := readersPerHall, 0
+	if rank < readersPerHall {
+		remote = remoteSources
 	}
-	if place < hallReaders && s.proven > s.bound-askMargin {
-		near, far = hallAskers, otherHallsStale
+	if rank < readersPerHall && in.provenAge > in.bound-queryMargin {
+		local, remote = maxQuerying, remoteSourcesStale
 	}
-	names := append(slices.Clone(hall[:min(near, len(hall))]), others[:min(far, len(others))]...)
-	if place >= hallReaders {
-		first := (place - hallReaders) / fanout
-		names = hall[first : first+heardHosts]
+	names := append(slices.Clone(hall[:min(local, len(hall))]), others[:min(remote, len(others))]...)
+	if rank >= readersPerHall {
+		parent := (rank - readersPerHall) / fanout
+		names = hall[parent : parent+sourcesPerHost]
 	}
 	for _, n := range names {
-		if n != s.host {
-			c.hear = append(c.hear, addrs[n])
+		if n != in.host {
+			c.sources = append(c.sources, addrs[n])
 		}
 	}
 	return c
 }
 
-// asking is what the host at a place of its hall asks the platform; elsewhere
-// says that hosts of other halls are alive. Beyond the
-// first hallAskers hosts ask for the configuration only, which proves their
-// keys, and seldom: when an outage of 8 s ended, 295 hosts that all asked for
-// everything made up most of a day's 7,800 calls. A host whose list of servers stays
-// too old while the configuration is proven asks for all, wherever it stands: those
-// that tell it may live and have an old list themselves, and by its own it would send
-// work to servers that have left.
-func (s situation) asking(place int, elsewhere bool) watch.Asking {
-	untold := s.told - s.bound - 2*askStep
+// queriesAt returns what the host at a rank of its hall queries from the platform.
+// remoteAlive reports whether hosts of other halls are alive. Hosts ranked after the first
+// maxQuerying query only the configuration, which proves their keys, and rarely: when an
+// outage of 8 s ended, 295 hosts that all queried everything made up most of a day's 7,800
+// calls. A host of any rank whose list of servers stays too old while the configuration is
+// proven queries all tables: its sources may be alive and have an old list themselves, and
+// with that list it would send requests to servers that have left.
+func (in sourceInput) queriesAt(rank int, remoteAlive bool) watch.Asking {
+	overdue := in.relayedAge - in.bound - 2*escalationInterval
 	switch {
-	case place < s.askers(elsewhere), untold > aloneTime && s.proven < s.bound, s.listOld > s.bound/2:
+	case rank < in.queryingHosts(remoteAlive), overdue > relayTimeout && in.provenAge < in.bound, in.serversStaleFor > in.bound/2:
 		return watch.AskAll
-	case untold > 0:
+	case overdue > 0:
 		return watch.AskConfig
 	}
 	return watch.AskNothing
 }
 
-// askers is how many of a hall ask the platform for all: twice as many with
-// each further step of time in which nobody tells news.
-func (s situation) askers(elsewhere bool) int {
-	n := hallReaders
-	if elsewhere {
-		n = hallAsking
+// queryingHosts returns the number of hosts of a hall that query all tables. It doubles
+// with each further escalationInterval in which no proofs are relayed.
+func (in sourceInput) queryingHosts(remoteAlive bool) int {
+	n := readersPerHall
+	if remoteAlive {
+		n = queryingReaders
 	}
-	for age := s.bound - askMargin; s.told > age && n < hallAskers; age += askStep {
+	for age := in.bound - queryMargin; in.relayedAge > age && n < maxQuerying; age += escalationInterval {
 		n *= 2
 	}
 	return n
 }
 
-// chooseReaders decides anew whom this host hears and what it asks the
-// platform.
-func (e *Entry) chooseReaders(r *readers) {
+// chooseSources chooses this host's sources and its queries anew, and applies the choice.
+func (e *Entry) chooseSources(st *sourceState) {
 	now := time.Now()
 	s := e.settings.Load()
 	if len(e.watcher.State().Hosts) == 0 {
-		e.lookForHosts()
+		e.discoverHosts()
 		return
 	}
-	if r.known.IsZero() {
-		r.known = now
+	if st.othersKnownAt.IsZero() {
+		st.othersKnownAt = now
 	}
-	young := now.Sub(r.known)
-	proven, bound := ageOr(young, e.watcher.ConfigAge), s.Bounds.Config
-	r.noteList(now, proven < bound && ageOr(young, e.watcher.ServersAge) > bound)
-	c := situation{
-		host: s.Host, hall: s.Hall, link: s.Link, others: e.liveHosts(young < youngTime),
-		told: ageOr(young, e.watcher.ToldAge), proven: proven, listOld: r.oldFor(now), bound: bound,
+	sinceKnown := now.Sub(st.othersKnownAt)
+	provenAge, bound := ageOr(sinceKnown, e.watcher.ConfigAge), s.Bounds.Config
+	st.recordServers(now, provenAge < bound && ageOr(sinceKnown, e.watcher.ServersAge) > bound)
+	c := sourceInput{
+		host: s.Host, hall: s.Hall, link: s.Link, others: e.liveHosts(sinceKnown < assumedAliveTime),
+		relayedAge: ageOr(sinceKnown, e.watcher.ToldAge), provenAge: provenAge, serversStaleFor: st.serversStaleFor(now), bound: bound,
 	}.choose()
-	e.apply(r, c, now)
+	e.apply(st, c, now)
 }
 
-// noteList takes in whether the list of servers is too old now.
-func (r *readers) noteList(now time.Time, old bool) {
+// recordServers records whether the list of servers is too old now.
+func (st *sourceState) recordServers(now time.Time, stale bool) {
 	switch {
-	case !old:
-		r.listOld = time.Time{}
-	case r.listOld.IsZero():
-		r.listOld = now
+	case !stale:
+		st.serversStaleSince = time.Time{}
+	case st.serversStaleSince.IsZero():
+		st.serversStaleSince = now
 	}
 }
 
-// oldFor is for how long the list of servers has been too old.
-func (r *readers) oldFor(now time.Time) time.Duration {
-	if r.listOld.IsZero() {
+// serversStaleFor returns how long the list of servers has been too old.
+func (st *sourceState) serversStaleFor(now time.Time) time.Duration {
+	if st.serversStaleSince.IsZero() {
 		return 0
 	}
-	return now.Sub(r.listOld)
+	return now.Sub(st.serversStaleSince)
 }
 
-// ageOr is an age, or the other one if there is none.
-func ageOr(other time.Duration, age func() (time.Duration, bool)) time.Duration {
+// ageOr returns an age, or the fallback if there is none.
+func ageOr(fallback time.Duration, age func() (time.Duration, bool)) time.Duration {
 	if a, ok := age(); ok {
 		return a
 	}
-	return other
+	return fallback
 }
 
-// apply brings a choice into force. What was widened stays so for a while.
-func (e *Entry) apply(r *readers, c choice, now time.Time) {
-	if c.asking == watch.AskAll {
-		r.asks = now.Add(askTime)
+// apply puts a choice into effect, and logs it if it has changed. Queries of all tables and
+// additional sources are kept for minChoiceTime.
+func (e *Entry) apply(st *sourceState, c sourceChoice, now time.Time) {
+	if c.queries == watch.AskAll {
+		st.queryUntil = now.Add(minChoiceTime)
 	}
-	if now.Before(r.asks) {
-		c.asking = watch.AskAll
+	if now.Before(st.queryUntil) {
+		c.queries = watch.AskAll
 	}
-	if len(c.hear) > len(r.hear) {
-		r.wider = now.Add(askTime)
+	if len(c.sources) > len(st.sources) {
+		st.wideUntil = now.Add(minChoiceTime)
 	}
-	if len(c.hear) < len(r.hear) && now.Before(r.wider) {
-		c.hear = r.hear
+	if len(c.sources) < len(st.sources) && now.Before(st.wideUntil) {
+		c.sources = st.sources
 	}
-	if c.asking == r.asking && c.pause == r.pause && slices.Equal(c.hear, r.hear) {
+	if c.queries == st.queries && c.pause == st.pause && slices.Equal(c.sources, st.sources) {
 		return
 	}
-	r.choice = c
-	e.watcher.SetAsking(c.asking, c.pause)
-	e.relays.Hear(c.hear)
-	e.log.Write(event.RelayChosen, slog.Bool("asks", c.asking != watch.AskNothing), slog.String("hears", strings.Join(c.hear, ",")),
-		slog.Int("others", e.neighbors.Load().others))
+	st.sourceChoice = c
+	e.watcher.SetAsking(c.queries, c.pause)
+	e.relayClient.Hear(c.sources)
+	e.log.Write(event.RelayChosen, slog.Bool("asks", c.queries != watch.AskNothing), slog.String("hears", strings.Join(c.sources, ",")),
+		slog.Int("others", e.neighbors.Load().otherHosts))
 }
 
-// lookForHosts decides what is asked while no other host is known.
-func (e *Entry) lookForHosts() {
-	announced := e.announced.Load()
+// discoverHosts chooses this host's queries while it knows of no other host.
+func (e *Entry) discoverHosts() {
+	announcedAt := e.announcedAt.Load()
 	now := e.clock.Now()
 	switch {
-	case !e.settings.Load().FirstStart || now > lonelyTime:
-		e.watcher.SetAsking(watch.AskAll, askersPause)
-	case announced > 0 && now-time.Duration(announced) > settleTime:
-		e.watcher.SetAsking(watch.AskHosts, askersPause)
+	case !e.settings.Load().FirstStart || now > discoveryTimeout:
+		e.watcher.SetAsking(watch.AskAll, maxReaderPause)
+	case announcedAt > 0 && now-time.Duration(announcedAt) > announceWait:
+		e.watcher.SetAsking(watch.AskHosts, maxReaderPause)
 	}
 }
 
-// liveHosts are the others that seem alive, or all that are known. Those of
-// the cell tell that they are; of the rest it is known only if this host has
-// tried to hear them.
+// liveHosts returns the other hosts that seem alive, or all known ones if all is set. Hosts
+// of the cell send heartbeats. Any other host counts as alive unless this host has recently
+// tried to subscribe to it and failed.
 func (e *Entry) liveHosts(all bool) []watch.Host {
 	var live []watch.Host
-	mates := e.neighbors.Load().mates
+	peers := e.neighbors.Load().peers
 	for _, h := range e.watcher.State().Hosts {
-		if h.Number == e.number || h.Name == e.settings.Load().Host {
+		if h.Number == e.startNumber || h.Name == e.settings.Load().Host {
 			continue
 		}
-		heard := mates[h.Name] && e.board.HostAlive(h.Number, e.clock.Now())
-		if all || heard || !mates[h.Name] && !e.relays.Lost(h.Addr) {
+		alive := peers[h.Name] && e.scheduler.HostAlive(h.Number, e.clock.Now())
+		if all || alive || !peers[h.Name] && !e.relayClient.Lost(h.Addr) {
 			live = append(live, h)
 		}
 	}
--- a/daemon/entry/readers_test.go
+++ b/daemon/entry/readers_test.go
@@ -10,8 +10,8 @@
 	"slipcrank.example/daemon/watch"
 )
 
-// site returns hosts of three halls, whose names and addresses are the same.
-func site(perHall int) []watch.Host {
+// testHosts returns hosts of three halls. The address of each is its name.
+func testHosts(perHall int) []watch.Host {
 	var hs []watch.Host
 	for n := range 3 * perHall {
 		name := fmt.Sprintf("host-%d", n)
@@ -20,177 +20,181 @@
 	return hs
 }
 
-// seenBy is the situation of the host at a place of its hall.
-func seenBy(hosts []watch.Host, place int, told, proven time.Duration) situation {
+// inputAt returns the input of the host at a rank of its hall, with a bound of 3 s.
+func inputAt(hosts []watch.Host, rank int, relayedAge, provenAge time.Duration) sourceInput {
 	var hall []string
 	for _, h := range hosts {
 		if h.Hall == "hall-0" {
 			hall = append(hall, h.Name)
 		}
 	}
-	s := situation{host: route.Rank(readersKey, hall)[place], hall: "hall-0", told: told, proven: proven, bound: 3 * time.Second}
+	in := sourceInput{host: route.Rank(rankKey, hall)[rank], hall: "hall-0", relayedAge: relayedAge, provenAge: provenAge, bound: 3 * time.Second}
 	for _, h := range hosts {
-		if h.Name != s.host {
-			s.others = append(s.others, h)
+		if h.Name != in.host {
+			in.others = append(in.others, h)
 		}
 	}
-	return s
+	return in
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseSourcesAndQueries(t *testing.T) {
 	const (
 		fresh, late, later = time.Second, 2800 * time.Millisecond, 3100 * time.Millisecond
-		latest, alone      = 4 * time.Second, 6 * time.Second
-		hallPause          = 25 * othersPause
+		latest, silent     = 4 * time.Second, 6 * time.Second
+		hallPause          = 25 * maxPausePerHost
 	)
 	for name, tc := range map[string]struct {
-		perHall, place int
-		told, proven   time.Duration
-		asking         watch.Asking
-		hears          int
-		pause          time.Duration
+		perHall, rank         int
+		relayedAge, provenAge time.Duration
+		queries               watch.Asking
+		sources               int
+		pause                 time.Duration
 	}{
-		"a reader":                              {25, 0, fresh, fresh, watch.AskAll, 2, askersPause},
-		"the second of its hall":                {25, 1, fresh, fresh, watch.AskNothing, 2, askersPause},
-		"the second, told late":                 {25, 1, late, fresh, watch.AskAll, 2, askersPause},
-		"the second, without news":              {25, 1, late, late, watch.AskAll, 7 + otherHallsStale, askersPause},
-		"another":                               {25, 2, fresh, fresh, watch.AskNothing, 2, askersPause},
-		"far down the order":                    {25, 20, fresh, fresh, watch.AskNothing, 2, hallPause},
-		"the third, told late":                  {25, 2, late, late, watch.AskNothing, 2, askersPause},
-		"the third, told later":                 {25, 2, later, later, watch.AskAll, 2, askersPause},
-		"the fifth, told later":                 {25, 4, later, later, watch.AskNothing, 2, askersPause},
-		"the fifth, told latest":                {25, 4, latest, latest, watch.AskAll, 2, askersPause},
-		"far down the order, told later":        {25, 20, later, later, watch.AskNothing, 2, hallPause},
-		"far down the order, told of no proof":  {25, 20, latest, latest, watch.AskConfig, 2, hallPause},
-		"far down, no news while all is silent": {25, 20, alone, alone, watch.AskConfig, 2, hallPause},
-		"far down, no news but from the store":  {25, 20, alone, fresh, watch.AskAll, 2, hallPause},
-		"alone in its hall":                     {1, 0, fresh, fresh, watch.AskAll, 1, askersPause},
+		"first reader":  {25, 0, fresh, fresh, watch.AskAll, 2, maxReaderPause},
+		"second reader": {25, 1, fresh, fresh, watch.AskNothing, 2, maxReaderPause},
+		"second reader, no proof relayed for 2.8 s":  {25, 1, late, fresh, watch.AskAll, 2, maxReaderPause},
+		"second reader, no proof for 2.8 s":          {25, 1, late, late, watch.AskAll, 7 + remoteSourcesStale, maxReaderPause},
+		"third host":                                 {25, 2, fresh, fresh, watch.AskNothing, 2, maxReaderPause},
+		"host of low rank":                           {25, 20, fresh, fresh, watch.AskNothing, 2, hallPause},
+		"third host, no proof for 2.8 s":             {25, 2, late, late, watch.AskNothing, 2, maxReaderPause},
+		"third host, no proof for 3.1 s":             {25, 2, later, later, watch.AskAll, 2, maxReaderPause},
+		"fifth host, no proof for 3.1 s":             {25, 4, later, later, watch.AskNothing, 2, maxReaderPause},
+		"fifth host, no proof for 4 s":               {25, 4, latest, latest, watch.AskAll, 2, maxReaderPause},
+		"host of low rank, no proof for 3.1 s":       {25, 20, later, later, watch.AskNothing, 2, hallPause},
+		"host of low rank, no proof for 4 s":         {25, 20, latest, latest, watch.AskConfig, 2, hallPause},
+		"host of low rank, no proof for 6 s":         {25, 20, silent, silent, watch.AskConfig, 2, hallPause},
+		"host of low rank, no proof relayed for 6 s": {25, 20, silent, fresh, watch.AskAll, 2, hallPause},
+		"only host of its hall":                      {1, 0, fresh, fresh, watch.AskAll, 1, maxReaderPause},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := seenBy(site(tc.perHall), tc.place, tc.told, tc.proven).choose()
-			if c.asking != tc.asking || len(c.hear) != tc.hears || c.pause != tc.pause {
-				t.Errorf("asks %v, hears %v, pauses up to %v; want %v, %d hosts, %v", c.asking, c.hear, c.pause, tc.asking, tc.hears, tc.pause)
+			c := inputAt(testHosts(tc.perHall), tc.rank, tc.relayedAge, tc.provenAge).choose()
+			if c.queries != tc.queries || len(c.sources) != tc.sources || c.pause != tc.pause {
+				t.Errorf("queries %v, sources %v, maximum pause %v; want %v, %d sources, %v", c.queries, c.sources, c.pause, tc.queries, tc.sources, tc.pause)
 			}
 		})
 	}
 }
 
-// TestTwoOfAHallAskWhereThereIsNoOther has the second host of the only hall ask
-// too: nobody else would tell it what the first one misses.
-func TestTwoOfAHallAskWhereThereIsNoOther(t *testing.T) {
-	s := seenBy(site(25), 1, time.Second, time.Second)
-	s.others = slices.DeleteFunc(s.others, func(h watch.Host) bool { return h.Hall != s.hall })
-	if c := s.choose(); c.asking != watch.AskAll {
-		t.Errorf("the second host of the only hall asks %v", c.asking)
+// TestBothReadersOfOnlyHallQuery checks that the second reader of the only hall queries the
+// platform too: no reader of another hall relays what the first reader misses.
+func TestBothReadersOfOnlyHallQuery(t *testing.T) {
+	in := inputAt(testHosts(25), 1, time.Second, time.Second)
+	in.others = slices.DeleteFunc(in.others, func(h watch.Host) bool { return h.Hall != in.hall })
+	if c := in.choose(); c.queries != watch.AskAll {
+		t.Errorf("second reader of the only hall queries %v", c.queries)
 	}
 }
 
-// TestOldListIsAskedFor: a host's list of servers stayed old while the configuration
-// was proven anew by those that told it, and nothing had it ask for the list itself.
-func TestOldListIsAskedFor(t *testing.T) {
+// TestStaleServerListIsQueried guards against a list of servers that stays old because the
+// sources of a host relay new proofs of the configuration, but no new list, and the host
+// doesn't query the list itself.
+func TestStaleServerListIsQueried(t *testing.T) {
 	const fresh, bound = time.Second, 3 * time.Second
 	for name, tc := range map[string]struct {
-		old  []bool // each quarter second, whether the list is too old
-		want watch.Asking
+		stale []bool // on each tick of upkeep, whether the list is too old
+		want  watch.Asking
 	}{
-		"a list that is fresh":        {[]bool{false, false}, watch.AskNothing},
-		"one that has just grown old": {[]bool{false, true, true}, watch.AskNothing},
-		"one that stays old":          {slices.Repeat([]bool{true}, 8), watch.AskAll},
-		"one that is told again":      {append(slices.Repeat([]bool{true}, 8), false, true), watch.AskNothing},
+		"list not too old":               {[]bool{false, false}, watch.AskNothing},
+		"list too old for two ticks":     {[]bool{false, true, true}, watch.AskNothing},
+		"list too old for eight ticks":   {slices.Repeat([]bool{true}, 8), watch.AskAll},
+		"list relayed after eight ticks": {append(slices.Repeat([]bool{true}, 8), false, true), watch.AskNothing},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, now := readers{}, time.Now()
-			for _, old := range tc.old {
-				now = now.Add(upkeepPeriod)
-				r.noteList(now, old)
+			st, now := sourceState{}, time.Now()
+			for _, stale := range tc.stale {
+				now = now.Add(upkeepInterval)
+				st.recordServers(now, stale)
 			}
-			s := seenBy(site(25), 20, fresh, fresh)
-			s.bound, s.listOld = bound, r.oldFor(now)
-			if c := s.choose(); c.asking != tc.want {
-				t.Errorf("asks %v, want %v", c.asking, tc.want)
+			in := inputAt(testHosts(25), 20, fresh, fresh)
+			in.bound, in.serversStaleFor = bound, st.serversStaleFor(now)
+			if c := in.choose(); c.queries != tc.want {
+				t.Errorf("queries %v, want %v", c.queries, tc.want)
 			}
 		})
 	}
 }
 
-// TestNewsReachEachHost follows who hears whom, from one host that the
-// platform serves while it turns away all others.
-func TestNewsReachEachHost(t *testing.T) {
-	for name, perHall := range map[string]int{"small halls": 3, "grown halls": 25, "large halls": 100} {
+// TestUpdatesReachAllHosts has the platform serve a single host and reject all others, and
+// checks that the sources of the hosts relay its updates to every host.
+func TestUpdatesReachAllHosts(t *testing.T) {
+	for name, perHall := range map[string]int{"three hosts per hall": 3, "25 hosts per hall": 25, "100 hosts per hall": 100} {
 		t.Run(name, func(t *testing.T) {
-			hosts := site(perHall)
-			hears := map[string][]string{}
+			hosts := testHosts(perHall)
+			sources := map[string][]string{}
 			for _, h := range hosts {
-				s := situation{host: h.Name, hall: h.Hall, told: 4 * time.Second, proven: 4 * time.Second, bound: 3 * time.Second}
-				s.others = slices.DeleteFunc(slices.Clone(hosts), func(o watch.Host) bool { return o.Name == h.Name })
-				hears[h.Name] = s.choose().hear
+				in := sourceInput{host: h.Name, hall: h.Hall, relayedAge: 4 * time.Second, provenAge: 4 * time.Second, bound: 3 * time.Second}
+				in.others = slices.DeleteFunc(slices.Clone(hosts), func(o watch.Host) bool { return o.Name == h.Name })
+				sources[h.Name] = in.choose().sources
 			}
-			for place := range min(hallAskers, perHall) {
-				served := seenBy(hosts, place, 0, 0).host
-				heard := map[string]bool{served: true}
-				for range 8 { // steps from host to host
-					for h, from := range hears {
-						if slices.ContainsFunc(from, func(n string) bool { return heard[n] }) {
-							heard[h] = true
+			for rank := range min(maxQuerying, perHall) {
+				served := inputAt(hosts, rank, 0, 0).host
+				reached := map[string]bool{served: true}
+				for range 8 { // hops
+					for h, from := range sources {
+						if slices.ContainsFunc(from, func(n string) bool { return reached[n] }) {
+							reached[h] = true
 						}
 					}
 				}
-				if len(heard) != len(hosts) {
-					t.Errorf("news of %s, at place %d of its hall, reach %d of %d hosts", served, place, len(heard), len(hosts))
+				if len(reached) != len(hosts) {
+					t.Errorf("updates of %s, at rank %d of its hall, reach %d of %d hosts", served, rank, len(reached), len(hosts))
 				}
 			}
 		})
 	}
 }
 
-// TestNoHostIsHeardByMany counts the listeners of each host of a large fleet.
-func TestNoHostIsHeardByMany(t *testing.T) {
-	hosts := site(100)
-	listeners := map[string]int{}
+// TestSubscribersPerHostAreBounded counts the hosts of a large fleet that have each host as
+// a source.
+func TestSubscribersPerHostAreBounded(t *testing.T) {
+	hosts := testHosts(100)
+	subscribers := map[string]int{}
 	for _, h := range hosts {
-		s := situation{host: h.Name, hall: h.Hall, bound: 3 * time.Second}
-		s.others = slices.DeleteFunc(slices.Clone(hosts), func(o watch.Host) bool { return o.Name == h.Name })
-		for _, from := range s.choose().hear {
-			listeners[from]++
+		in := sourceInput{host: h.Name, hall: h.Hall, bound: 3 * time.Second}
+		in.others = slices.DeleteFunc(slices.Clone(hosts), func(o watch.Host) bool { return o.Name == h.Name })
+		for _, from := range in.choose().sources {
+			subscribers[from]++
 		}
 	}
-	for h, n := range listeners {
-		if most := heardHosts*fanout + 2*hallReaders + 2; n > most {
-			t.Errorf("%s is heard by %d hosts, want at most %d", h, n, most)
+	for h, n := range subscribers {
+		if bound := sourcesPerHost*fanout + 2*readersPerHall + 2; n > bound {
+			t.Errorf("%s is a source of %d hosts, want at most %d", h, n, bound)
 		}
 	}
 }
 
-func TestWideLinksComeFirst(t *testing.T) {
-	hosts := site(25)
+// TestHostsWithFastLinksAreReaders gives two hosts of a hall faster links than the others,
+// and checks that they are its readers.
+func TestHostsWithFastLinksAreReaders(t *testing.T) {
+	hosts := testHosts(25)
 	for i := range hosts {
 		hosts[i].Link = 20
 	}
 	hosts[3].Link, hosts[30].Link = 200, 200 // of hall-0
-	asking, listeners := 0, map[string]int{}
+	querying, subscribers := 0, map[string]int{}
 	for _, h := range hosts {
 		if h.Hall != "hall-0" {
 			continue
 		}
-		s := situation{host: h.Name, hall: h.Hall, link: h.Link, bound: 3 * time.Second}
-		s.others = slices.DeleteFunc(slices.Clone(hosts), func(o watch.Host) bool { return o.Name == h.Name })
-		c := s.choose()
-		if c.asking != watch.AskNothing {
-			asking++
+		in := sourceInput{host: h.Name, hall: h.Hall, link: h.Link, bound: 3 * time.Second}
+		in.others = slices.DeleteFunc(slices.Clone(hosts), func(o watch.Host) bool { return o.Name == h.Name })
+		c := in.choose()
+		if c.queries != watch.AskNothing {
+			querying++
 			if h.Link != 200 {
-				t.Errorf("%s with a link of %v Mbit/s asks the platform", h.Name, h.Link)
+				t.Errorf("%s with a link of %v Mbit/s queries the platform", h.Name, h.Link)
 			}
 		}
-		for _, from := range c.hear {
-			listeners[from]++
+		for _, from := range c.sources {
+			subscribers[from]++
 		}
 	}
-	if asking != 1 {
-		t.Errorf("%d hosts of the hall ask, want one", asking)
+	if querying != 1 {
+		t.Errorf("%d hosts of the hall query the platform, want one", querying)
 	}
-	for _, wide := range []string{hosts[3].Name, hosts[30].Name} {
-		if listeners[wide] < fanout {
-			t.Errorf("%s is heard by %d hosts of its hall, want at least %d", wide, listeners[wide], fanout)
+	for _, fast := range []string{hosts[3].Name, hosts[30].Name} {
+		if subscribers[fast] < fanout {
+			t.Errorf("%s is a source of %d hosts of its hall, want at least %d", fast, subscribers[fast], fanout)
 		}
 	}
 }
--- a/daemon/entry/stop.go
+++ b/daemon/entry/stop.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	// noticeTime is how long new connections are still taken after a planned
-	// stop began: the balancer asks once a second and needs two misses.
-	noticeTime = 2800 * time.Millisecond
-	// stopMargin is kept from the grace for the end of the process.
-	stopMargin = 700 * time.Millisecond
-	// stopPoll is how often a stop looks whether all requests have ended.
-	stopPoll = 50 * time.Millisecond
+	// balancerNoticeTime is how long new connections are still accepted after a planned
+	// stop has begun: the load balancer checks the readiness once per second, and
+	// removes a host after two failed checks.
+	balancerNoticeTime = 2800 * time.Millisecond
+	// exitMargin is the part of the grace period that is left for the exit of the
+	// process.
+	exitMargin = 700 * time.Millisecond
+	// stopPollInterval is the interval at which Stop checks for requests in progress.
+	stopPollInterval = 50 * time.Millisecond
 )
 
-// Stop is a planned stop. New connections are taken until the balancer has
-// noticed; each answer is the last of its connection; then it waits for
-// requests in progress within the grace.
+// Stop performs a planned stop. New connections are accepted until the load balancer has
+// noticed the stop, and each connection is closed after its next answer. Stop waits for
+// the requests in progress until the grace period or ctx ends, then closes everything.
 func (e *Entry) Stop(ctx context.Context) {
 	begun := time.Now()
 	e.stopping.Store(true)
-	limit := e.settings.Load().Bounds.Grace - stopMargin
-	e.gateway.Drain(begun.Add(noticeTime), begun.Add(limit))
+	limit := e.settings.Load().Bounds.Grace - exitMargin
+	e.gateway.Drain(begun.Add(balancerNoticeTime), begun.Add(limit))
 	e.log.Write(event.DaemonDraining, slog.Int64("active", e.gateway.Active()))
 	for time.Since(begun) < limit {
-		if time.Since(begun) > noticeTime && e.gateway.Active() == 0 {
+		if time.Since(begun) > balancerNoticeTime && e.gateway.Active() == 0 {
 			break
 		}
-		if err := pause.For(ctx, stopPoll); err != nil {
+		if err := pause.For(ctx, stopPollInterval); err != nil {
 			break
 		}
 	}
@@ -43,16 +45,16 @@
 	} else {
 		e.log.Write(event.DaemonStopped)
 	}
-	_ = e.callers.Close() // what is open ends here in any case
-	e.relays.Hear(nil)
-	e.relay.Stop()
+	_ = e.callerServer.Close() // remaining connections are cut
+	e.relayClient.Hear(nil)
+	e.relayServer.Stop()
 	e.cancel()
-	_ = e.news.Close()
+	_ = e.exchange.Close()
 	e.log.Close()
 }
 
-// Reload takes in changed settings. Addresses hold until the next start; the
-// bounds hold at once.
+// Reload applies changed settings, or logs the error with which they were read. Bounds take
+// effect at once; the host's name, its hall and all addresses only at the next start.
 func (e *Entry) Reload(s settings.Entry, err error) {
 	if err != nil {
 		e.log.Write(event.SettingsBad, slog.String("error", err.Error()))
--- a/daemon/entry/suspects.go
+++ b/daemon/entry/suspects.go
@@ -15,134 +15,140 @@
 )
 
 const (
-	// suspectNews is for how long others are told of a change each upkeepPeriod:
-	// of eight such datagrams all are lost once in a hundred million times where
-	// a tenth is. After that they are told of what is held, and for clearedNews of
-	// what was cleared, each lastingEvery times, for hosts that start, wake up or
-	// were cut off.
-	suspectNews  = 2 * time.Second
-	clearedNews  = 30 * time.Second
-	lastingEvery = 4
-	// mostTold bounds what is told at once.
-	mostTold = 20
-	// storedName names who told of suspects that the platform's table has.
-	storedName = "platform"
+	// changeResendTime is how long a changed record is sent to other hosts on every
+	// tick of upkeep: if a tenth of all datagrams is lost, all eight of them are lost
+	// once in a hundred million times. Records of blocked suspects are then sent on
+	// every resendTicks-th tick, and those of cleared suspects until clearedResendTime,
+	// for hosts that start, resume or were cut off.
+	changeResendTime  = 2 * time.Second
+	clearedResendTime = 30 * time.Second
+	resendTicks       = 4
+	// maxSentRecords bounds the number of records that are sent at once.
+	maxSentRecords = 20
+	// platformSender is logged as the sender of suspects read from the platform.
+	platformSender = "platform"
 )
 
-// suspectsChanged tells others at once that this host knows more of suspects.
+// suspectsChanged sends changed records of suspects to other hosts at once, and has them
+// stored if need be.
 func (e *Entry) suspectsChanged() {
-	e.tellSuspects(0)
-	e.wakeStoring()
+	e.sendSuspects(0)
+	e.signalStore()
 }
 
-func (e *Entry) wakeStoring() { wake(e.changed) }
+// signalStore wakes storeSuspects.
+func (e *Entry) signalStore() { signal(e.storeSignal) }
 
-// wake wakes who waits on c, which holds one word.
-func wake(c chan struct{}) {
+// signal wakes the receiver of c, which has a buffer for one signal.
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // it is to wake up already
+	default: // a signal is pending already
 	}
 }
 
-// heard takes in what others know of suspects. Each host may have seen one of the
-// ends, so that all of them learn only by hearing that the request is to be held:
-// whoever saw any of them stores it then.
-func (e *Entry) heard(by string, rs []quarantine.Record) {
-	if e.gateway.HearSuspects(by, rs) {
-		e.wakeStoring()
+// mergeSuspects merges records of suspects from a sender. If each host has observed only
+// one of the crashes, a request becomes blocked on all of them only by merging, so any
+// host with evidence of its own then stores the record.
+func (e *Entry) mergeSuspects(sender string, rs []quarantine.Record) {
+	if e.gateway.HearSuspects(sender, rs) {
+		e.signalStore()
 	}
 }
 
-// tellSuspects tells other hosts of the suspects of which this one has evidence
-// of its own. It is called again and again, with a rising number.
-func (e *Entry) tellSuspects(number int) {
+// sendSuspects sends the records of the suspects for which this host has evidence of its
+// own to other hosts. It is called on every tick of upkeep with the number of the tick, and
+// with 0 when suspects or hosts have changed.
+func (e *Entry) sendSuspects(tick int) {
 	var rs []quarantine.Record
-	for _, t := range e.quarantine.OwnRecords(e.clock.Now()) {
-		again := lasts(t) && number%lastingEvery == 0
-		if (t.Age < suspectNews || again) && len(rs) < mostTold {
-			rs = append(rs, t.Record)
+	for _, o := range e.quarantine.OwnRecords(e.clock.Now()) {
+		again := resent(o) && tick%resendTicks == 0
+		if (o.Age < changeResendTime || again) && len(rs) < maxSentRecords {
+			rs = append(rs, o.Record)
 		}
 	}
-	e.news.SendSuspects(e.number, rs)
+	e.exchange.SendSuspects(e.startNumber, rs)
 }
 
-// lasts reports whether others are told of a suspect also later.
-func lasts(t quarantine.OwnRecord) bool {
-	switch t.Record.Stage() {
+// resent reports whether a record is still sent when changeResendTime has passed.
+func resent(o quarantine.OwnRecord) bool {
+	switch o.Record.Stage() {
 	case quarantine.Blocked:
 		return true
 	case quarantine.Clear:
-		return t.Age < clearedNews
+		return o.Age < clearedResendTime
 	}
 	return false
 }
 
-// hearSuspects takes in what another host tells of suspects, if it is one that the
-// platform's table names: others have no say in what is refused.
-func (e *Entry) hearSuspects(host uint32, rs []quarantine.Record) {
-	if !e.listed(host) {
+// applySuspects merges records of suspects from another host. It ignores hosts that are not
+// in the platform's table of hosts, so that these can't cause requests to be refused.
+func (e *Entry) applySuspects(host uint32, rs []quarantine.Record) {
+	if !e.hostListed(host) {
 		e.metrics.Count("suspects_of_unknown_hosts", int64(len(rs)))
 		return
 	}
-	e.heard(strconv.FormatUint(uint64(host), 10), rs)
+	e.mergeSuspects(strconv.FormatUint(uint64(host), 10), rs)
 }
 
-// listed reports whether the platform's table names a host.
-func (e *Entry) listed(number uint32) bool {
+// hostListed reports whether the platform's table of hosts contains a start of a host.
+func (e *Entry) hostListed(number uint32) bool {
 	return slices.ContainsFunc(e.watcher.State().Hosts, func(h watch.Host) bool { return h.Number == number })
 }
 
-// hearStored takes in the suspects that the platform's table has. They reach
-// hosts of other cells, and those that start when no other host is left.
-func (e *Entry) hearStored(ss []watch.Suspect) {
+// mergeStoredSuspects merges the records of suspects that the platform's table contains.
+// The table carries them to hosts of other cells, and to hosts that start when no other
+// host is running.
+func (e *Entry) mergeStoredSuspects(ss []watch.Suspect) {
 	for _, s := range ss {
 		if age, known := e.watcher.Age(s.At()); !known || age < quarantine.BlockedRetention {
-			e.heard(storedName, []quarantine.Record{s.Record})
+			e.mergeSuspects(platformSender, []quarantine.Record{s.Record})
 		}
 	}
 }
 
-// otherHosts are the hosts that the platform names, without this one.
-func (e *Entry) otherHosts() []quarantine.Host {
+// witnessHosts returns the candidates for the witnesses of a crash: all hosts in the
+// platform's table but this one.
+func (e *Entry) witnessHosts() []quarantine.Host {
 	var out []quarantine.Host
-	for _, h := range e.others(e.watcher.State().Hosts) {
+	for _, h := range e.excludeOwn(e.watcher.State().Hosts) {
 		out = append(out, quarantine.Host{Number: h.Number, Hall: h.Hall})
 	}
 	return out
 }
 
-// storeSuspects writes to the platform what this host has found to be held, and
-// what was cleared of it. That is one call for each, which is rare: a request has
-// to end three servers first.
+// storeSuspects writes blocked suspects for which this host has evidence of its own to the
+// platform, and writes them again whenever they are cleared, until ctx ends. Each takes one
+// call, which is rare: a request has to crash three servers first.
 func (e *Entry) storeSuspects(ctx context.Context) {
-	stored := map[quarantine.Fingerprint]uint32{} // how often each was cleared as it was stored
+	stored := map[quarantine.Fingerprint]uint32{} // pardon counts of the stored records
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.changed:
+		case <-e.storeSignal:
 		}
-		for _, t := range e.quarantine.OwnRecords(e.clock.Now()) {
-			pardons, known := stored[t.Record.Fingerprint]
-			held := t.Record.Stage() == quarantine.Blocked
-			if known && pardons == t.Record.Pardons || !known && !held {
+		for _, o := range e.quarantine.OwnRecords(e.clock.Now()) {
+			pardons, known := stored[o.Record.Fingerprint]
+			blocked := o.Record.Stage() == quarantine.Blocked
+			if known && pardons == o.Record.Pardons || !known && !blocked {
 				continue
 			}
-			if e.storeSuspect(ctx, t.Record) {
-				stored[t.Record.Fingerprint] = t.Record.Pardons
+			if e.storeSuspect(ctx, o.Record) {
+				stored[o.Record.Fingerprint] = o.Record.Pardons
 			}
 		}
 	}
 }
 
-// storeSuspect writes one suspect. It reports false if ctx ended before that.
+// storeSuspect writes the record of one suspect to the platform, and retries until it
+// succeeds. It reports false if ctx ends first.
 func (e *Entry) storeSuspect(ctx context.Context, r quarantine.Record) bool {
 	for ctx.Err() == nil {
-		at, _ := e.watcher.PlatformClock() // zero is long ago: then nobody heeds it
+		at, _ := e.watcher.PlatformClock() // if unknown, the zero time makes readers ignore the record as expired
 		row, err := json.Marshal(watch.NewSuspect(r, at))
 		if err == nil {
-			c, cancel := context.WithTimeout(ctx, announceTime)
+			c, cancel := context.WithTimeout(ctx, writeTimeout)
 			_, err = e.platform.Source.Put(c, e.platform.Tables.Hosts, watch.SuspectKey(r.Fingerprint), row)
 			cancel()
 		}
@@ -150,7 +156,7 @@
 			return true
 		}
 		e.log.Write(event.PlatformLost, slog.String("doing", "store a suspect"), slog.String("error", err.Error()))
-		_ = pause.UpTo(ctx, announceTime) // ctx is looked at above
+		_ = pause.UpTo(ctx, writeTimeout) // the loop checks ctx
 	}
 	return false
 }
--- a/daemon/entry/suspects_test.go
+++ b/daemon/entry/suspects_test.go
@@ -12,9 +12,10 @@
 	"slipcrank.example/daemon/watch"
 )
 
-// TestWhoSawOneEndStoresWhatOthersSaw has a host see one of three ends, and hear of
-// the others afterwards: nobody else may have seen the last one of what it hears.
-func TestWhoSawOneEndStoresWhatOthersSaw(t *testing.T) {
+// TestHostWithOneCrashStoresBlockedSuspect has a host observe one of three crashes and
+// receive the other two from other hosts. It has to store the blocked suspect, since each
+// of the other hosts may have observed only one of the crashes too.
+func TestHostWithOneCrashStoresBlockedSuspect(t *testing.T) {
 	put := make(chan string, 1)
 	source := feed.Source{Put: func(_ context.Context, _, key string, _ []byte) (time.Duration, error) {
 		put <- key
@@ -28,25 +29,25 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	id := quarantine.Request{Workspace: "w", Target: "/deadly"}.Identity()
-	e.quarantine.AddCrash(id, provedEnd("s0", true), 0)
+	e.quarantine.AddCrash(id, confirmedCrash("s0", true), 0)
 	e.suspectsChanged()
-	<-e.changed // who stores has looked: it isn't held yet
+	<-e.storeSignal // as storeSuspects does, with nothing to store yet
 	for n := range 2 {
 		other := quarantine.NewRegistry()
-		other.AddCrash(id, provedEnd(fmt.Sprintf("s%d", n+1), false), 0)
-		e.heard("other", []quarantine.Record{other.Records()[0]})
+		other.AddCrash(id, confirmedCrash(fmt.Sprintf("s%d", n+1), false), 0)
+		e.mergeSuspects("other", []quarantine.Record{other.Records()[0]})
 	}
 	go e.storeSuspects(ctx)
 	select {
 	case key := <-put:
 		if key != watch.SuspectKey(id.Fingerprint) {
-			t.Errorf("stored as %s", key)
+			t.Errorf("stored under the key %s", key)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the held request is not stored")
+		t.Error("blocked suspect not stored")
 	}
 }
 
-func provedEnd(server string, apart bool) quarantine.Crash {
-	return quarantine.Crash{Server: quarantine.ServerDigest(server), Isolated: apart, Confirmed: true}
+func confirmedCrash(server string, isolated bool) quarantine.Crash {
+	return quarantine.Crash{Server: quarantine.ServerDigest(server), Isolated: isolated, Confirmed: true}
 }
