--- a/core/boottime/boottime.go
+++ b/core/boottime/boottime.go
@@ -45,8 +45,8 @@
 	Option func(*Clock)
 )
 
-// WithBoot sets where the time since the machine's start comes from.
-func WithBoot(f func() (time.Duration, error)) Option { return func(c *Clock) { c.boot = f } }
+// WithBootTime sets where the time since the machine's start comes from.
+func WithBootTime(f func() (time.Duration, error)) Option { return func(c *Clock) { c.boot = f } }
 
 // WithTimeOfDay sets where the time of day comes from.
 func WithTimeOfDay(f func() time.Time) Option { return func(c *Clock) { c.day = f } }
--- a/core/boottime/boottime_test.go
+++ b/core/boottime/boottime_test.go
@@ -10,7 +10,7 @@
 
 func TestSuspension(t *testing.T) {
 	boot := time.Hour
-	c := boottime.New(boottime.WithBoot(func() (time.Duration, error) { return boot, nil }))
+	c := boottime.New(boottime.WithBootTime(func() (time.Duration, error) { return boot, nil }))
 	begun := c.Time()
 	boot += 5 * time.Second // the steady clock stands still meanwhile
 	if s := c.Refresh(); s < 4*time.Second || s > 5*time.Second {
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			var jump time.Duration
 			c := boottime.New(
-				boottime.WithBoot(func() (time.Duration, error) { return 0, errors.ErrUnsupported }),
+				boottime.WithBootTime(func() (time.Duration, error) { return 0, errors.ErrUnsupported }),
 				boottime.WithTimeOfDay(func() time.Time { return time.Now().Add(jump) }),
 			)
 			jump = tc.jump
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -33,8 +33,8 @@
 	Down
 )
 
-// DownLife is how long an engine that is down stays in the directory.
-const DownLife = 10 * time.Minute
+// DownRetention is how long an engine that is down stays in the directory.
+const DownRetention = 10 * time.Minute
 
 type (
 	// Copy is a model in one version.
@@ -82,8 +82,8 @@
 	})
 }
 
-// Same reports whether e and o say the same, whatever their revisions.
-func (e Engine) Same(o Engine) bool {
+// EqualState reports whether e and o say the same, whatever their revisions.
+func (e Engine) EqualState(o Engine) bool {
 	return e.Incarnation == o.Incarnation && e.Role == o.Role && e.Status == o.Status &&
 		e.TotalTokens == o.TotalTokens && slices.Equal(e.Copies, o.Copies)
 }
@@ -124,7 +124,7 @@
 	return d.set.Merge(e)
 }
 
-// Tick forgets the engines that have been down for [DownLife], and reports
+// Tick forgets the engines that have been down for [DownRetention], and reports
 // whether there were any.
 func (d *Directory) Tick(now time.Time) bool {
 	forgot := false
@@ -135,7 +135,7 @@
 			delete(d.downSince, e.Addr)
 		case !noted:
 			d.downSince[e.Addr] = now
-		case now.Sub(since) >= DownLife:
+		case now.Sub(since) >= DownRetention:
 			d.Delete(e.Addr)
 			forgot = true
 		}
@@ -147,7 +147,7 @@
 // revision, and reports whether it differs from what was known.
 func (d *Directory) Observe(e Engine) bool {
 	old, ok := d.set.Get(e.Addr)
-	if (ok && old.Same(e)) || (!ok && e.Status == Down) {
+	if (ok && old.EqualState(e)) || (!ok && e.Status == Down) {
 		return false
 	}
 	e.Incarnation = max(e.Incarnation, old.Incarnation)
@@ -167,8 +167,8 @@
 	delete(d.downSince, addr)
 }
 
-// News returns at most n records that others may not know.
-func (d *Directory) News(n, members int) []Engine { return d.set.Updates(n, members) }
+// Updates returns at most n records that others may not know.
+func (d *Directory) Updates(n, members int) []Engine { return d.set.Updates(n, members) }
 
-// Known says that some other daemon, of so many, has the same records.
-func (d *Directory) Known(members int) { d.set.PeerInSync(members) }
+// PeerInSync says that some other daemon, of so many, has the same records.
+func (d *Directory) PeerInSync(members int) { d.set.PeerInSync(members) }
--- a/core/emulate/emulate.go
+++ b/core/emulate/emulate.go
@@ -88,8 +88,8 @@
 	return Scenario{
 		Engines: 18,
 		Engine: site.Engine{
-			Slots: 16, Memory: 405_000, Stride: 34, Step: 1310 * time.Microsecond, PerWriter: 917 * time.Nanosecond,
-			PerContext: 2130 * time.Nanosecond, ReadRate: 154_000, PerPairs: 162 * time.Microsecond, Chunk: 2048,
+			Slots: 16, Memory: 405_000, StepsPerPass: 34, StepTime: 1310 * time.Microsecond, StepTimePerRequest: 917 * time.Nanosecond,
+			StepTimePerContext: 2130 * time.Nanosecond, PrefillRate: 154_000, PrefillTimePerPairs: 162 * time.Microsecond, PrefillChunk: 2048,
 			UsualPrompt: 11_500, UsualAnswer: 1_270,
 		},
 		Wait: 12 * time.Second,
--- a/core/emulate/fleet.go
+++ b/core/emulate/fleet.go
@@ -78,7 +78,7 @@
 // published model.
 func (f *fleet) prefillTime(tokens int) time.Duration {
 	pairs := float64(tokens) * float64(tokens) / 2e6
-	s := float64(tokens)/f.engine.ReadRate + pairs*f.engine.PerPairs.Seconds()
+	s := float64(tokens)/f.engine.PrefillRate + pairs*f.engine.PrefillTimePerPairs.Seconds()
 	return time.Duration(s * float64(time.Second))
 }
 
@@ -103,7 +103,7 @@
 		context += r.work.Prompt
 		f.addTokens(r, now)
 	}
-	step := f.engine.Step + time.Duration(len(decoding))*f.engine.PerWriter + time.Duration(context/1000)*f.engine.PerContext
+	step := f.engine.StepTime + time.Duration(len(decoding))*f.engine.StepTimePerRequest + time.Duration(context/1000)*f.engine.StepTimePerContext
 	took := time.Duration(f.steps(e)) * step
 	e.decoding = slices.DeleteFunc(e.decoding, func(r *request) bool { return r.done })
 	return took
@@ -115,7 +115,7 @@
 	if len(e.decoding) == 0 {
 		return 1
 	}
-	return max(f.engine.Stride, 1)
+	return max(f.engine.StepsPerPass, 1)
 }
 
 // addTokens adds the tokens of one pass to the answer of a request.
@@ -126,7 +126,7 @@
 	} else {
 		r.late = r.late || now-r.lastTokens > r.load.Gap
 	}
-	r.lastTokens, r.tokensLeft = now, r.tokensLeft-max(f.engine.Stride, 1)
+	r.lastTokens, r.tokensLeft = now, r.tokensLeft-max(f.engine.StepsPerPass, 1)
 	if r.tokensLeft <= 0 {
 		r.done = true
 		f.scheduler.RecordEnd(r.placement.ID)
@@ -135,7 +135,7 @@
 
 // prefill prefills as much as fits into one pass, and returns how long that takes.
 func (f *fleet) prefill(e *engineState) time.Duration {
-	budget := time.Duration(float64(f.steps(e)*f.engine.Chunk) / f.engine.ReadRate * float64(time.Second))
+	budget := time.Duration(float64(f.steps(e)*f.engine.PrefillChunk) / f.engine.PrefillRate * float64(time.Second))
 	var took time.Duration
 	for len(e.prefilling) > 0 && budget > 0 {
 		p := e.prefilling[0]
--- a/core/emulate/noisy.go
+++ b/core/emulate/noisy.go
@@ -20,8 +20,8 @@
 	return Scenario{
 		Engines: 30,
 		Engine: site.Engine{
-			Slots: 10, Memory: 232_000, Stride: 68, Step: 1020 * time.Microsecond, PerWriter: 2260 * time.Nanosecond,
-			PerContext: 4310 * time.Nanosecond, ReadRate: 206_000, PerPairs: 138 * time.Microsecond, Chunk: 2048,
+			Slots: 10, Memory: 232_000, StepsPerPass: 68, StepTime: 1020 * time.Microsecond, StepTimePerRequest: 2260 * time.Nanosecond,
+			StepTimePerContext: 4310 * time.Nanosecond, PrefillRate: 206_000, PrefillTimePerPairs: 138 * time.Microsecond, PrefillChunk: 2048,
 			UsualPrompt: 12_331, UsualAnswer: 1_303,
 		},
 		Wait:  15 * time.Second,
--- a/core/schedule/cost.go
+++ b/core/schedule/cost.go
@@ -21,8 +21,8 @@
 // prefillTime returns how long an engine takes to prefill one of k equal parts
 // of a prompt.
 func prefillTime(e *site.Engine, prompt, k int) time.Duration {
-	tokens := float64(prompt) / float64(k) / e.ReadRate * float64(time.Second)
-	context := attentionPairs(prompt) / float64(k) * float64(e.PerPairs)
+	tokens := float64(prompt) / float64(k) / e.PrefillRate * float64(time.Second)
+	context := attentionPairs(prompt) / float64(k) * float64(e.PrefillTimePerPairs)
 	return time.Duration(tokens + context)
 }
 
@@ -30,7 +30,7 @@
 // engines prefill a prompt together.
 func idlePrefillTime(e *site.Engine, prompt, engines int) time.Duration {
 	parts := min(maxHelpers+1, engines, max(prompt/minPartTokens, 1))
-	return e.Step + prefillTime(e, prompt, parts)
+	return e.StepTime + prefillTime(e, prompt, parts)
 }
 
 // passTime returns the duration of a pass in which so many requests decode with
@@ -38,11 +38,11 @@
 // no request decodes is one step.
 func passTime(e *site.Engine, decoding, context int) time.Duration {
 	if decoding == 0 {
-		return e.Step
+		return e.StepTime
 	}
-	step := e.Step + time.Duration(decoding)*e.PerWriter +
-		time.Duration(float64(context)/1000*float64(e.PerContext))
-	return time.Duration(max(e.Stride, 1)) * step
+	step := e.StepTime + time.Duration(decoding)*e.StepTimePerRequest +
+		time.Duration(float64(context)/1000*float64(e.StepTimePerContext))
+	return time.Duration(max(e.StepsPerPass, 1)) * step
 }
 
 // Value returns the value of a request relative to one of usual size: a base
--- a/core/schedule/schedule_test.go
+++ b/core/schedule/schedule_test.go
@@ -14,9 +14,9 @@
 
 // engine is the model of engines that the users publish.
 var engine = &site.Engine{
-	Slots: 16, Memory: 232_000, Stride: 43,
-	Step: 1020 * time.Microsecond, PerWriter: 2260 * time.Nanosecond, PerContext: 4310 * time.Nanosecond,
-	ReadRate: 206_000, PerPairs: 138 * time.Microsecond, Chunk: 2048,
+	Slots: 16, Memory: 232_000, StepsPerPass: 43,
+	StepTime: 1020 * time.Microsecond, StepTimePerRequest: 2260 * time.Nanosecond, StepTimePerContext: 4310 * time.Nanosecond,
+	PrefillRate: 206_000, PrefillTimePerPairs: 138 * time.Microsecond, PrefillChunk: 2048,
 	UsualPrompt: 12_331, UsualAnswer: 1303,
 }
 
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -117,7 +117,7 @@
 // engineTime returns how long a request keeps one engine busy: the whole engine
 // during its prefill, unless that is over, and one slot's part of it during decode.
 func engineTime(e *site.Engine, w Work, prefilled bool) time.Duration {
-	t := time.Duration(w.Answer) * e.Step / time.Duration(max(e.Slots, 1))
+	t := time.Duration(w.Answer) * e.StepTime / time.Duration(max(e.Slots, 1))
 	if !prefilled {
 		t += prefillTime(e, w.Prompt, 1)
 	}
--- a/core/schedule/state.go
+++ b/core/schedule/state.go
@@ -49,7 +49,7 @@
 // predictState sets st to the state of an engine predicted from its placements. It
 // reuses the memory of st's slices.
 func (sc *Scheduler) predictState(st *state, now time.Duration, e *site.Engine, s *backend.Server) {
-	*st = state{server: s, stride: max(e.Stride, 1), waiters: st.waiters[:0], streams: st.streams[:0]}
+	*st = state{server: s, stride: max(e.StepsPerPass, 1), waiters: st.waiters[:0], streams: st.streams[:0]}
 	if l := sc.byServer[s.ID]; l != nil {
 		for _, p := range l.placements {
 			st.add(now, e, p)
--- a/core/schedule/weights.go
+++ b/core/schedule/weights.go
@@ -93,7 +93,7 @@
 // pauseSensitive reports whether a stream's gap is shorter than the time in which an
 // engine prefills as much as it can in one pass.
 func pauseSensitive(e *site.Engine, gap time.Duration) bool {
-	maxPrefill := float64(max(e.Stride, 1)*e.Chunk) / e.ReadRate * float64(time.Second)
+	maxPrefill := float64(max(e.StepsPerPass, 1)*e.PrefillChunk) / e.PrefillRate * float64(time.Second)
 	return gap > 0 && gap < time.Duration(maxPrefill)
 }
 
--- a/core/site/site.go
+++ b/core/site/site.go
@@ -82,22 +82,22 @@
 		Slots int `yaml:"slots" validate:"gte=1"`
 		// Memory is in tokens.
 		Memory int `yaml:"memory" validate:"gte=1"`
-		// Stride is how many steps a pass has while any request writes.
-		Stride int `yaml:"stride" validate:"gte=1"`
-		// Step is the time of one token step.
-		Step time.Duration `yaml:"step" validate:"gt=0s"`
-		// PerWriter is added to a step for each request that writes.
-		PerWriter time.Duration `yaml:"per_writer" validate:"gte=0s"`
-		// PerContext is added to a step for each 1,000 tokens of context of
+		// StepsPerPass is how many steps a pass has while any request writes.
+		StepsPerPass int `yaml:"stride" validate:"gte=1"`
+		// StepTime is the time of one token step.
+		StepTime time.Duration `yaml:"step" validate:"gt=0s"`
+		// StepTimePerRequest is added to a step for each request that writes.
+		StepTimePerRequest time.Duration `yaml:"per_writer" validate:"gte=0s"`
+		// StepTimePerContext is added to a step for each 1,000 tokens of context of
 		// a request that writes.
-		PerContext time.Duration `yaml:"per_context" validate:"gte=0s"`
-		// ReadRate is prompt tokens a second.
-		ReadRate float64 `yaml:"read_rate" validate:"gt=0"`
-		// PerPairs is the time for a million pairs of a token and one before
+		StepTimePerContext time.Duration `yaml:"per_context" validate:"gte=0s"`
+		// PrefillRate is prompt tokens a second.
+		PrefillRate float64 `yaml:"read_rate" validate:"gt=0"`
+		// PrefillTimePerPairs is the time for a million pairs of a token and one before
 		// it.
-		PerPairs time.Duration `yaml:"per_pairs" validate:"gte=0s"`
-		// Chunk is the most prompt tokens that are read in a step.
-		Chunk int `yaml:"chunk" validate:"gte=1"`
+		PrefillTimePerPairs time.Duration `yaml:"per_pairs" validate:"gte=0s"`
+		// PrefillChunk is the most prompt tokens that are read in a step.
+		PrefillChunk int `yaml:"chunk" validate:"gte=1"`
 		// UsualPrompt and UsualAnswer are mean sizes in tokens.
 		UsualPrompt int `yaml:"usual_prompt" validate:"gte=1"`
 		UsualAnswer int `yaml:"usual_answer" validate:"gte=0"`
--- a/daemon/control/gone_test.go
+++ b/daemon/control/gone_test.go
@@ -82,12 +82,12 @@
 			if record.Status != directory.Down {
 				t.Fatalf("a silent engine is %v", record.Status)
 			}
-			c.now = c.now.Add(directory.DownLife)
+			c.now = c.now.Add(directory.DownRetention)
 			c.poll(silent)
 			// A daemon that forgets later goes on telling of it.
 			c.do(func(s *control.State) { s.MergeEngines([]directory.Engine{record}) })
 			if es := c.loop.View().Engines; len(es) != 0 {
-				t.Errorf("after %v down the directory has %v", directory.DownLife, es)
+				t.Errorf("after %v down the directory has %v", directory.DownRetention, es)
 			}
 			if n := c.poll(silent); n != tc.polls {
 				t.Errorf("%d engines are polled, want %d", n, tc.polls)
@@ -120,7 +120,7 @@
 		owner.poll(silent)
 	}
 	exchange()
-	owner.now = owner.now.Add(directory.DownLife)
+	owner.now = owner.now.Add(directory.DownRetention)
 	owner.poll(silent)
 	owner.poll(nil) // up again, in the same life
 	for range 3 {
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -116,7 +116,7 @@
 func (s *State) News() News {
 	return News{
 		Members:        s.members.Updates(newsMembers),
-		Engines:        s.engines.News(newsEngines, s.members.Len()),
+		Engines:        s.engines.Updates(newsEngines, s.members.Len()),
 		TemplateNumber: s.book.Number(),
 	}
 }
@@ -136,7 +136,7 @@
 // Known says that another daemon, picked at random, has the same records.
 func (s *State) Known() {
 	s.members.PeerInSync()
-	s.engines.Known(s.members.Len())
+	s.engines.PeerInSync(s.members.Len())
 }
 
 // Digest names the state of all member and engine records: daemons with the
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	e.news = n
-	p.Tables.ProofWait = s.Bounds.Config / proofsWithinBound
+	p.Tables.PollWait = s.Bounds.Config / proofsWithinBound
 	e.watcher = watch.New(p.Source, p.Tables, p.Decoders, e.log, e.metrics, e.setHosts)
 	e.watcher.SetClock(e.clock)
 	e.relays, e.relay = relay.NewClient(e.watcher, e.log), relay.NewServer(e.watcher)
@@ -203,7 +203,7 @@
 	go e.serve(&http.Server{Handler: e.operators(), ReadHeaderTimeout: headerTime}, listeners[2])
 	go e.serve(e.relay, listeners[3])
 	if s.FirstStart {
-		e.watcher.SetAsking(watch.AskNothing, askersPause)
+		e.watcher.SetPolling(watch.PollNothing, askersPause)
 	}
 	go e.watcher.Run(ctx)
 	go e.news.Run()
--- a/daemon/entry/readers.go
+++ b/daemon/entry/readers.go
@@ -81,7 +81,7 @@
 	// choice is whom a host hears and whether it asks the platform.
 	choice struct {
 		hear   []string
-		asking watch.Asking
+		asking watch.PollScope
 		pause  time.Duration // the longest between questions that fail
 	}
 
@@ -141,15 +141,15 @@
 // too old while the configuration is proven asks for all, wherever it stands: those
 // that tell it may live and have an old list themselves, and by its own it would send
 // work to servers that have left.
-func (s situation) asking(place int, elsewhere bool) watch.Asking {
+func (s situation) asking(place int, elsewhere bool) watch.PollScope {
 	untold := s.told - s.bound - 2*askStep
 	switch {
 	case place < s.askers(elsewhere), untold > aloneTime && s.proven < s.bound, s.listOld > s.bound/2:
-		return watch.AskAll
+		return watch.PollAll
 	case untold > 0:
-		return watch.AskConfig
+		return watch.PollConfig
 	}
-	return watch.AskNothing
+	return watch.PollNothing
 }
 
 // askers is how many of a hall ask the platform for all: twice as many with
@@ -182,7 +182,7 @@
 	r.noteList(now, proven < bound && ageOr(young, e.watcher.ServersAge) > bound)
 	c := situation{
 		host: s.Host, hall: s.Hall, link: s.Link, others: e.liveHosts(young < youngTime),
-		told: ageOr(young, e.watcher.ToldAge), proven: proven, listOld: r.oldFor(now), bound: bound,
+		told: ageOr(young, e.watcher.RelayedAge), proven: proven, listOld: r.oldFor(now), bound: bound,
 	}.choose()
 	e.apply(r, c, now)
 }
@@ -215,11 +215,11 @@
 
 // apply brings a choice into force. What was widened stays so for a while.
 func (e *Entry) apply(r *readers, c choice, now time.Time) {
-	if c.asking == watch.AskAll {
+	if c.asking == watch.PollAll {
 		r.asks = now.Add(askTime)
 	}
 	if now.Before(r.asks) {
-		c.asking = watch.AskAll
+		c.asking = watch.PollAll
 	}
 	if len(c.hear) > len(r.hear) {
 		r.wider = now.Add(askTime)
@@ -231,9 +231,9 @@
 		return
 	}
 	r.choice = c
-	e.watcher.SetAsking(c.asking, c.pause)
+	e.watcher.SetPolling(c.asking, c.pause)
 	e.relays.Hear(c.hear)
-	e.log.Write(event.RelayChosen, slog.Bool("asks", c.asking != watch.AskNothing), slog.String("hears", strings.Join(c.hear, ",")),
+	e.log.Write(event.RelayChosen, slog.Bool("asks", c.asking != watch.PollNothing), slog.String("hears", strings.Join(c.hear, ",")),
 		slog.Int("others", e.neighbors.Load().others))
 }
 
@@ -243,9 +243,9 @@
 	now := e.clock.Now()
 	switch {
 	case !e.settings.Load().FirstStart || now > lonelyTime:
-		e.watcher.SetAsking(watch.AskAll, askersPause)
+		e.watcher.SetPolling(watch.PollAll, askersPause)
 	case announced > 0 && now-time.Duration(announced) > settleTime:
-		e.watcher.SetAsking(watch.AskHosts, askersPause)
+		e.watcher.SetPolling(watch.PollHosts, askersPause)
 	}
 }
 
--- a/daemon/entry/readers_test.go
+++ b/daemon/entry/readers_test.go
@@ -46,25 +46,25 @@
 	for name, tc := range map[string]struct {
 		perHall, place int
 		told, proven   time.Duration
-		asking         watch.Asking
+		asking         watch.PollScope
 		hears          int
 		pause          time.Duration
 	}{
-		"a reader":                              {25, 0, fresh, fresh, watch.AskAll, 2, askersPause},
-		"the second of its hall":                {25, 1, fresh, fresh, watch.AskNothing, 2, askersPause},
-		"the second, told late":                 {25, 1, late, fresh, watch.AskAll, 2, askersPause},
-		"the second, without news":              {25, 1, late, late, watch.AskAll, 7 + otherHallsStale, askersPause},
-		"another":                               {25, 2, fresh, fresh, watch.AskNothing, 2, askersPause},
-		"far down the order":                    {25, 20, fresh, fresh, watch.AskNothing, 2, hallPause},
-		"the third, told late":                  {25, 2, late, late, watch.AskNothing, 2, askersPause},
-		"the third, told later":                 {25, 2, later, later, watch.AskAll, 2, askersPause},
-		"the fifth, told later":                 {25, 4, later, later, watch.AskNothing, 2, askersPause},
-		"the fifth, told latest":                {25, 4, latest, latest, watch.AskAll, 2, askersPause},
-		"far down the order, told later":        {25, 20, later, later, watch.AskNothing, 2, hallPause},
-		"far down the order, told of no proof":  {25, 20, latest, latest, watch.AskConfig, 2, hallPause},
-		"far down, no news while all is silent": {25, 20, alone, alone, watch.AskConfig, 2, hallPause},
-		"far down, no news but from the store":  {25, 20, alone, fresh, watch.AskAll, 2, hallPause},
-		"alone in its hall":                     {1, 0, fresh, fresh, watch.AskAll, 1, askersPause},
+		"a reader":                              {25, 0, fresh, fresh, watch.PollAll, 2, askersPause},
+		"the second of its hall":                {25, 1, fresh, fresh, watch.PollNothing, 2, askersPause},
+		"the second, told late":                 {25, 1, late, fresh, watch.PollAll, 2, askersPause},
+		"the second, without news":              {25, 1, late, late, watch.PollAll, 7 + otherHallsStale, askersPause},
+		"another":                               {25, 2, fresh, fresh, watch.PollNothing, 2, askersPause},
+		"far down the order":                    {25, 20, fresh, fresh, watch.PollNothing, 2, hallPause},
+		"the third, told late":                  {25, 2, late, late, watch.PollNothing, 2, askersPause},
+		"the third, told later":                 {25, 2, later, later, watch.PollAll, 2, askersPause},
+		"the fifth, told later":                 {25, 4, later, later, watch.PollNothing, 2, askersPause},
+		"the fifth, told latest":                {25, 4, latest, latest, watch.PollAll, 2, askersPause},
+		"far down the order, told later":        {25, 20, later, later, watch.PollNothing, 2, hallPause},
+		"far down the order, told of no proof":  {25, 20, latest, latest, watch.PollConfig, 2, hallPause},
+		"far down, no news while all is silent": {25, 20, alone, alone, watch.PollConfig, 2, hallPause},
+		"far down, no news but from the store":  {25, 20, alone, fresh, watch.PollAll, 2, hallPause},
+		"alone in its hall":                     {1, 0, fresh, fresh, watch.PollAll, 1, askersPause},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := seenBy(site(tc.perHall), tc.place, tc.told, tc.proven).choose()
@@ -80,7 +80,7 @@
 func TestTwoOfAHallAskWhereThereIsNoOther(t *testing.T) {
 	s := seenBy(site(25), 1, time.Second, time.Second)
 	s.others = slices.DeleteFunc(s.others, func(h watch.Host) bool { return h.Hall != s.hall })
-	if c := s.choose(); c.asking != watch.AskAll {
+	if c := s.choose(); c.asking != watch.PollAll {
 		t.Errorf("the second host of the only hall asks %v", c.asking)
 	}
 }
@@ -91,12 +91,12 @@
 	const fresh, bound = time.Second, 3 * time.Second
 	for name, tc := range map[string]struct {
 		old  []bool // each quarter second, whether the list is too old
-		want watch.Asking
+		want watch.PollScope
 	}{
-		"a list that is fresh":        {[]bool{false, false}, watch.AskNothing},
-		"one that has just grown old": {[]bool{false, true, true}, watch.AskNothing},
-		"one that stays old":          {slices.Repeat([]bool{true}, 8), watch.AskAll},
-		"one that is told again":      {append(slices.Repeat([]bool{true}, 8), false, true), watch.AskNothing},
+		"a list that is fresh":        {[]bool{false, false}, watch.PollNothing},
+		"one that has just grown old": {[]bool{false, true, true}, watch.PollNothing},
+		"one that stays old":          {slices.Repeat([]bool{true}, 8), watch.PollAll},
+		"one that is told again":      {append(slices.Repeat([]bool{true}, 8), false, true), watch.PollNothing},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, now := readers{}, time.Now()
@@ -175,7 +175,7 @@
 		s := situation{host: h.Name, hall: h.Hall, link: h.Link, bound: 3 * time.Second}
 		s.others = slices.DeleteFunc(slices.Clone(hosts), func(o watch.Host) bool { return o.Name == h.Name })
 		c := s.choose()
-		if c.asking != watch.AskNothing {
+		if c.asking != watch.PollNothing {
 			asking++
 			if h.Link != 200 {
 				t.Errorf("%s with a link of %v Mbit/s asks the platform", h.Name, h.Link)
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -35,7 +35,7 @@
 }
 
 // engine is the model of an engine that reads a prompt of 10,000 tokens in 0.1 s.
-var engine = &site.Engine{Slots: 4, Memory: 100_000, Stride: 1, Step: time.Millisecond, ReadRate: 100_000, Chunk: 1000}
+var engine = &site.Engine{Slots: 4, Memory: 100_000, StepsPerPass: 1, StepTime: time.Millisecond, PrefillRate: 100_000, PrefillChunk: 1000}
 
 type (
 	// server is a backend server whose answers are defined by a test.
--- a/daemon/gateway/suspended_test.go
+++ b/daemon/gateway/suspended_test.go
@@ -16,7 +16,7 @@
 // server. Timers don't advance meanwhile, so by them the call has 5 s left.
 func TestCallEndsIfSuspendedPastDeadline(t *testing.T) {
 	var bootTime atomic.Int64
-	clock := boottime.New(boottime.WithBoot(func() (time.Duration, error) { return time.Duration(bootTime.Load()), nil }))
+	clock := boottime.New(boottime.WithBootTime(func() (time.Duration, error) { return time.Duration(bootTime.Load()), nil }))
 	reached := make(chan struct{})
 	f := startWith(t, []gateway.Option{gateway.WithClock(clock)}, func(*http.Request, io.Writer) bool {
 		close(reached)
@@ -38,7 +38,7 @@
 // must be read again before the first byte is sent.
 func TestNothingIsSentAfterDeadline(t *testing.T) {
 	var bootTime atomic.Int64
-	clock := boottime.New(boottime.WithBoot(func() (time.Duration, error) { return time.Duration(bootTime.Load()), nil }))
+	clock := boottime.New(boottime.WithBootTime(func() (time.Duration, error) { return time.Duration(bootTime.Load()), nil }))
 	f := startWith(t, []gateway.Option{
 		gateway.WithClock(clock),
 		gateway.WithPlacementHooks(func(schedule.Placement) { bootTime.Add(int64(20 * time.Second)) }, func(schedule.ID) {}, func(schedule.ID) {}),
--- a/daemon/news/news_test.go
+++ b/daemon/news/news_test.go
@@ -69,7 +69,7 @@
 			Work: schedule.Work{Prompt: 90_000}, FirstToken: time.Minute,
 		})
 	}, func() bool { return board.PlacementCount("a") == 1 })
-	model := site.Service{Name: "model", Engine: &site.Engine{Slots: 4, Memory: 1e6, Step: time.Millisecond, ReadRate: 1e5, Chunk: 2048}}
+	model := site.Service{Name: "model", Engine: &site.Engine{Slots: 4, Memory: 1e6, StepTime: time.Millisecond, PrefillRate: 1e5, PrefillChunk: 2048}}
 	for name, holds := range map[string]bool{"heavy": true, "light": false} {
 		p, ok := board.Place(0, model, []backend.Server{{ID: "a", Slots: 4}, {ID: "b", Slots: 4}}, schedule.Request{
 			Work: schedule.Work{Prompt: 10_000}, Workspace: schedule.HashWorkspace(name),
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -162,7 +162,7 @@
 				joined = append(joined, u)
 				continue
 			}
-			joined[i] = joined[i].Join(u)
+			joined[i] = joined[i].Merge(u)
 		default:
 			return joined
 		}
@@ -296,7 +296,7 @@
 			c.setLost(addr, false)
 		}
 		if u.Table != "" {
-			c.watcher.Hear(ctx, u, asked)
+			c.watcher.Receive(ctx, u, asked)
 		}
 	}
 }
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -54,7 +54,7 @@
 				return answer(table)
 			},
 		},
-		watch.Tables{Config: "configs", ConfigKey: "config", Servers: "servers", Hosts: "hosts", ProofWait: time.Second},
+		watch.Tables{Config: "configs", ConfigKey: "config", Servers: "servers", Hosts: "hosts", PollWait: time.Second},
 		watch.Decoders{
 			Config: func(b []byte) (*site.Config, error) {
 				n, err := strconv.ParseInt(string(b), 10, 64)
@@ -127,7 +127,7 @@
 func TestEchoIsNoProofOfOthers(t *testing.T) {
 	reader, other := watcher(t, func() int { return 3 }), watcher(t, nil)
 	hear(t, other, serve(t, reader))
-	eventually(t, "the other host is told", func() bool { _, ok := other.ToldAge(); return ok })
+	eventually(t, "the other host is told", func() bool { _, ok := other.RelayedAge(); return ok })
 	updates, cancel := other.Subscribe(nil)
 	defer cancel()
 	for range 20 {
@@ -141,9 +141,9 @@
 			age, ok := reader.ConfigAge()
 			return ok && age < reader.Now()-asked
 		})
-		reader.Hear(context.Background(), u, asked)
+		reader.Receive(context.Background(), u, asked)
 	}
-	if _, ok := reader.ToldAge(); ok {
+	if _, ok := reader.RelayedAge(); ok {
 		t.Error("the reader takes its own proofs for another host's")
 	}
 }
@@ -204,8 +204,8 @@
 				if u.Table != "configs" {
 					continue
 				}
-				if got := len(u.Rows) > 0; got != tc.rows || got != u.Whole {
-					t.Errorf("told %d rows, whole: %v, want rows: %v", len(u.Rows), u.Whole, tc.rows)
+				if got := len(u.Rows) > 0; got != tc.rows || got != u.Complete {
+					t.Errorf("told %d rows, whole: %v, want rows: %v", len(u.Rows), u.Complete, tc.rows)
 				}
 				return
 			}
@@ -222,7 +222,7 @@
 	t.Cleanup(func() { c.Hear(nil) })
 	c.Hear([]string{here, nowhere})
 	eventually(t, "one is lost and the other is not", func() bool {
-		_, told := other.ToldAge()
+		_, told := other.RelayedAge()
 		return told && c.Lost(nowhere) && !c.Lost(here)
 	})
 	c.Hear([]string{here})
--- a/daemon/watch/follow.go
+++ b/daemon/watch/follow.go
@@ -22,10 +22,10 @@
 	seldomPause = 4 * time.Second
 )
 
-// SetAsking sets which tables the platform is asked for, and the longest pause
+// SetPolling sets which tables the platform is asked for, and the longest pause
 // between questions that fail. What isn't asked for has to be told by other
 // hosts.
-func (w *Watcher) SetAsking(a Asking, longest time.Duration) {
+func (w *Watcher) SetPolling(a PollScope, longest time.Duration) {
 	w.longest.Store(int64(longest))
 	if w.asking.Swap(int32(a)) == int32(a) {
 		return
@@ -36,15 +36,15 @@
 
 // asks reports whether the platform is asked for a table.
 func (w *Watcher) asks(table string) bool {
-	a := Asking(w.asking.Load())
-	return a == AskAll || a == AskHosts && table == w.tables.Hosts || a == AskConfig && table == w.tables.Config
+	a := PollScope(w.asking.Load())
+	return a == PollAll || a == PollHosts && table == w.tables.Hosts || a == PollConfig && table == w.tables.Config
 }
 
 // waits reports whether a question for a table waits for the platform to
 // answer one for the configuration: while it is away, one question of each
 // host is enough to see that it is back.
 func (w *Watcher) waits(table string) bool {
-	return Asking(w.asking.Load()) == AskAll && table != w.tables.Config && !w.answering.Load()
+	return PollScope(w.asking.Load()) == PollAll && table != w.tables.Config && !w.answering.Load()
 }
 
 // follow reads a table whole, then its changes.
@@ -117,7 +117,7 @@
 // begin waits for a while before the first question of one that asks seldom, and
 // returns the pause after it, should it fail.
 func (w *Watcher) begin(ctx context.Context) time.Duration {
-	if Asking(w.asking.Load()) != AskConfig {
+	if PollScope(w.asking.Load()) != PollConfig {
 		return firstPause
 	}
 	_ = pause.UpTo(ctx, seldomStart) // the caller looks at ctx
--- a/daemon/watch/relay.go
+++ b/daemon/watch/relay.go
@@ -20,8 +20,8 @@
 	Update struct {
 		Table string     `cbor:"1,keyasint"`
 		Rows  []feed.Row `cbor:"2,keyasint,omitempty"`
-		// Whole says that rows which aren't named don't exist.
-		Whole    bool  `cbor:"3,keyasint,omitempty"`
+		// Complete says that rows which aren't named don't exist.
+		Complete bool  `cbor:"3,keyasint,omitempty"`
 		Revision int64 `cbor:"4,keyasint"`
 		// Stamp is the platform's steady clock when this was true.
 		Stamp time.Duration `cbor:"5,keyasint"`
@@ -67,16 +67,16 @@
 	return xxhash.Sum64String(r.Key + "\x00" + strconv.FormatInt(r.Revision, 10))
 }
 
-// Hear takes in an update of another host, which was asked for updates at the
+// Receive takes in an update of another host, which was asked for updates at the
 // time asked.
-func (w *Watcher) Hear(ctx context.Context, u Update, asked time.Duration) {
+func (w *Watcher) Receive(ctx context.Context, u Update, asked time.Duration) {
 	if u.Clock > 0 {
 		w.clock.Observe(asked, u.Clock)
 	}
 	w.hand(ctx, read{
 		table: u.Table,
 		batch: feed.Batch{Rows: u.Rows, Revision: u.Revision, Stamp: u.Stamp},
-		whole: u.Whole,
+		whole: u.Complete,
 		told:  true, returned: u.Returned,
 	})
 }
@@ -95,7 +95,7 @@
 // pass keeps what was read and tells all listeners what is new in it.
 func (w *Watcher) pass(r read) {
 	u := Update{
-		Table: r.table, Rows: r.batch.Rows, Whole: r.whole,
+		Table: r.table, Rows: r.batch.Rows, Complete: r.whole,
 		Revision: r.batch.Revision, Stamp: r.batch.Stamp, Returned: w.returned,
 	}
 	t := w.rows[r.table]
@@ -104,7 +104,7 @@
 		t = &table{rows: map[string]feed.Row{}}
 		w.rows[r.table] = t
 	case r.whole:
-		u.Rows, u.Whole = t.changes(r.batch), false
+		u.Rows, u.Complete = t.changes(r.batch), false
 	}
 	t.apply(u.Rows)
 	t.revision = max(t.revision, u.Revision)
@@ -117,10 +117,10 @@
 	}
 }
 
-// Join returns one update in place of two of the same table, of which the
+// Merge returns one update in place of two of the same table, of which the
 // second is newer: of each row its newest state.
-func (u Update) Join(next Update) Update {
-	if next.Whole {
+func (u Update) Merge(next Update) Update {
+	if next.Complete {
 		return next
 	}
 	last := map[string]int{}
@@ -135,7 +135,7 @@
 		}
 		rows = append(rows, r)
 	}
-	next.Rows, next.Whole, next.Clock = rows, u.Whole, u.Clock
+	next.Rows, next.Complete, next.Clock = rows, u.Complete, u.Clock
 	return next
 }
 
@@ -195,7 +195,7 @@
 	for name, t := range w.rows {
 		u := Update{Table: name, Revision: t.revision, Stamp: t.stamp, Clock: clock, Returned: w.returned}
 		if knows, ok := l.knows[name]; !ok || knows != t.digest {
-			u.Whole, u.Rows = true, slices.Collect(maps.Values(t.rows))
+			u.Complete, u.Rows = true, slices.Collect(maps.Values(t.rows))
 		}
 		w.offer(c, u)
 	}
--- a/daemon/watch/relay_test.go
+++ b/daemon/watch/relay_test.go
@@ -29,7 +29,7 @@
 		s.set(func() { s.forgets = false })
 		gone, changed := 0, 0
 		for _, u := range told(updates, serversTable) {
-			if u.Whole {
+			if u.Complete {
 				t.Error("the whole table is told again")
 			}
 			for _, r := range u.Rows {
@@ -73,13 +73,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(s *fakeStore, w *watch.Watcher) {
-				w.SetAsking(watch.AskNothing, time.Second)
+				w.SetPolling(watch.PollNothing, time.Second)
 				pass(time.Second)
 				clock := func() time.Duration { return time.Since(s.start) + time.Hour }
 				var returned time.Duration
 				tell := func(table string, rows ...feed.Row) {
 					asked := w.Now()
-					w.Hear(context.Background(), watch.Update{
+					w.Receive(context.Background(), watch.Update{
 						Table: table, Rows: rows, Revision: 9, Stamp: clock(), Clock: clock(), Returned: returned,
 					}, asked)
 				}
@@ -104,7 +104,7 @@
 	row := func(key string, revision int64, gone bool) feed.Row {
 		return feed.Row{Key: key, Revision: revision, Gone: gone}
 	}
-	first := watch.Update{Table: "t", Rows: []feed.Row{row("a", 1, false), row("b", 2, false)}, Whole: true, Revision: 2, Stamp: 2, Clock: 5}
+	first := watch.Update{Table: "t", Rows: []feed.Row{row("a", 1, false), row("b", 2, false)}, Complete: true, Revision: 2, Stamp: 2, Clock: 5}
 	for name, tc := range map[string]struct {
 		next watch.Update
 		want []feed.Row
@@ -113,11 +113,11 @@
 		"a newer row":   {watch.Update{Table: "t", Rows: []feed.Row{row("a", 3, false)}, Stamp: 3}, []feed.Row{row("a", 3, false), row("b", 2, false)}},
 		"another row":   {watch.Update{Table: "t", Rows: []feed.Row{row("c", 3, false)}, Stamp: 3}, []feed.Row{row("a", 1, false), row("b", 2, false), row("c", 3, false)}},
 		"one that went": {watch.Update{Table: "t", Rows: []feed.Row{row("b", 3, true)}, Stamp: 3}, []feed.Row{row("a", 1, false), row("b", 3, true)}},
-		"all rows":      {watch.Update{Table: "t", Rows: []feed.Row{row("c", 3, false)}, Whole: true, Stamp: 3}, []feed.Row{row("c", 3, false)}},
+		"all rows":      {watch.Update{Table: "t", Rows: []feed.Row{row("c", 3, false)}, Complete: true, Stamp: 3}, []feed.Row{row("c", 3, false)}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := first.Join(tc.next)
-			if !reflect.DeepEqual(got.Rows, tc.want) || !got.Whole || got.Stamp != 3 || len(first.Rows) != 2 || first.Rows[0].Revision != 1 {
+			got := first.Merge(tc.next)
+			if !reflect.DeepEqual(got.Rows, tc.want) || !got.Complete || got.Stamp != 3 || len(first.Rows) != 2 || first.Rows[0].Revision != 1 {
 				t.Errorf("got %+v of %+v", got, first)
 			}
 		})
--- a/daemon/watch/return_test.go
+++ b/daemon/watch/return_test.go
@@ -22,7 +22,7 @@
 		settle()
 		pass(5 * time.Second)
 		clock := time.Since(s.start) + time.Hour
-		w.Hear(context.Background(), watch.Update{
+		w.Receive(context.Background(), watch.Update{
 			Table: configTable, Revision: s.revision(), Stamp: clock, Clock: clock, Returned: clock,
 		}, w.Now())
 		s.remove(serversTable, "a")
@@ -39,11 +39,11 @@
 	for name, first := range map[string]string{"with the configuration": configTable, "with the servers": serversTable} {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(s *fakeStore, w *watch.Watcher) {
-				w.SetAsking(watch.AskNothing, time.Second)
+				w.SetPolling(watch.PollNothing, time.Second)
 				pass(time.Second)
 				clock := func() time.Duration { return time.Since(s.start) + time.Hour }
 				tell := func(table string, returned time.Duration, rows ...feed.Row) {
-					w.Hear(context.Background(), watch.Update{
+					w.Receive(context.Background(), watch.Update{
 						Table: table, Rows: rows, Revision: 9, Stamp: clock(), Clock: clock(), Returned: returned,
 					}, w.Now())
 				}
--- a/daemon/watch/take.go
+++ b/daemon/watch/take.go
@@ -67,7 +67,7 @@
 // It was back when the first proof was made after that: those who find it out later,
 // or tell it again, would have servers kept that have left since.
 func (w *Watcher) noteReturn(r read) {
-	if gap := r.batch.Stamp - w.answered; w.answered > 0 && gap > w.tables.ProofWait+outageTime {
+	if gap := r.batch.Stamp - w.answered; w.answered > 0 && gap > w.tables.PollWait+outageTime {
 		w.missed = span{w.answered, r.batch.Stamp}
 	}
 	if w.missed.to == 0 || w.returned > w.missed.from { // there was none, or it is known
--- a/daemon/watch/watch.go
+++ b/daemon/watch/watch.go
@@ -30,14 +30,14 @@
 
 // Which tables the platform is asked for.
 const (
-	// AskNothing leaves it to other hosts to tell.
-	AskNothing Asking = iota
-	// AskHosts asks only who the other hosts are.
-	AskHosts
-	// AskConfig asks only for the configuration, and seldom.
-	AskConfig
-	// AskAll asks for all tables.
-	AskAll
+	// PollNothing leaves it to other hosts to tell.
+	PollNothing PollScope = iota
+	// PollHosts asks only who the other hosts are.
+	PollHosts
+	// PollConfig asks only for the configuration, and seldom.
+	PollConfig
+	// PollAll asks for all tables.
+	PollAll
 )
 
 // longestPause is the longest pause between questions that fail, where nothing
@@ -75,17 +75,17 @@
 )
 
 type (
-	// Asking is what the platform is asked.
-	Asking int32
+	// PollScope is what the platform is asked.
+	PollScope int32
 
 	// Tables names the platform's tables.
 	Tables struct {
 		Config, ConfigKey, Servers, Hosts string
-		// ProofWait is how long a question for changes of the configuration or of
+		// PollWait is how long a question for changes of the configuration or of
 		// the servers waits. Each answer proves anew that what is known is complete,
 		// and each question costs money. A connection that has fallen silent is found
 		// out when an answer is overdue: until then a server that leaves gets work.
-		ProofWait time.Duration
+		PollWait time.Duration
 	}
 
 	// Decoders read rows.
@@ -190,7 +190,7 @@
 	}
 	turned := make(chan struct{})
 	w.turned.Store(&turned)
-	w.SetAsking(AskAll, longestPause)
+	w.SetPolling(PollAll, longestPause)
 	w.answering.Store(true)
 	w.digests.Store(&map[string]uint64{})
 	w.proven.Store(-1)
@@ -207,10 +207,10 @@
 // proven to be the newest. It reports false before the first proof.
 func (w *Watcher) ConfigAge() (time.Duration, bool) { return w.age(w.proven.Load()) }
 
-// ToldAge is the age of the newest proof that came from another host before
+// RelayedAge is the age of the newest proof that came from another host before
 // this one had it from the platform: how old the configuration would be if
 // this host didn't ask.
-func (w *Watcher) ToldAge() (time.Duration, bool) { return w.age(w.told.Load()) }
+func (w *Watcher) RelayedAge() (time.Duration, bool) { return w.age(w.told.Load()) }
 
 // ServersAge returns how long ago, at most, the list of servers was complete. It
 // reports false before the first one.
@@ -233,8 +233,8 @@
 
 // Run follows the tables until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	go w.follow(ctx, w.tables.Config, w.tables.ProofWait)
-	go w.follow(ctx, w.tables.Servers, w.tables.ProofWait)
+	go w.follow(ctx, w.tables.Config, w.tables.PollWait)
+	go w.follow(ctx, w.tables.Servers, w.tables.PollWait)
 	go w.follow(ctx, w.tables.Hosts, hostsWait)
 	tick := time.NewTicker(lapseTick)
 	defer tick.Stop()
--- a/daemon/watch/watch_test.go
+++ b/daemon/watch/watch_test.go
@@ -156,7 +156,7 @@
 		l := decision.New(io.Discard)
 		w := watch.New(
 			feed.Source{List: s.list, Follow: s.follow},
-			watch.Tables{Config: configTable, ConfigKey: "config", Servers: serversTable, Hosts: "hosts", ProofWait: time.Second},
+			watch.Tables{Config: configTable, ConfigKey: "config", Servers: serversTable, Hosts: "hosts", PollWait: time.Second},
 			watch.Decoders{
 				Config: func(b []byte) (*site.Config, error) {
 					n, err := strconv.ParseInt(string(b), 10, 64)
@@ -253,7 +253,7 @@
 		for range 8 {
 			pass(500 * time.Millisecond)
 			asked := w.Now()
-			w.Hear(context.Background(), watch.Update{
+			w.Receive(context.Background(), watch.Update{
 				Table: configTable, Revision: s.revision(), Stamp: time.Since(s.start) + time.Hour, Clock: time.Since(s.start) + time.Hour,
 			}, asked)
 		}
@@ -324,7 +324,7 @@
 func TestOutageCostsFewCalls(t *testing.T) {
 	run(t, func(s *fakeStore, w *watch.Watcher) {
 		const longest = 2 * time.Second
-		w.SetAsking(watch.AskAll, longest)
+		w.SetPolling(watch.PollAll, longest)
 		s.put(configTable, "config", "1")
 		settle()
 		s.setDown(true)
@@ -348,11 +348,11 @@
 func TestThoseThatAskSeldomCostFewCalls(t *testing.T) {
 	run(t, func(s *fakeStore, w *watch.Watcher) {
 		const longest = 12 * time.Second
-		w.SetAsking(watch.AskNothing, longest)
+		w.SetPolling(watch.PollNothing, longest)
 		settle()
 		s.setDown(true)
 		before := s.count()
-		w.SetAsking(watch.AskConfig, longest)
+		w.SetPolling(watch.PollConfig, longest)
 		pass(8 * time.Second)
 		if n := s.count() - before; n < 2 || n > 6 {
 			t.Errorf("%d calls in an outage of 8 s, want a few", n)
@@ -381,17 +381,17 @@
 
 func TestWhatIsAsked(t *testing.T) {
 	for name, tc := range map[string]struct {
-		asking        watch.Asking
+		asking        watch.PollScope
 		config, hosts bool
 	}{
-		"nothing":                {watch.AskNothing, false, false},
-		"hosts only":             {watch.AskHosts, false, true},
-		"the configuration only": {watch.AskConfig, true, false},
-		"all":                    {watch.AskAll, true, true},
+		"nothing":                {watch.PollNothing, false, false},
+		"hosts only":             {watch.PollHosts, false, true},
+		"the configuration only": {watch.PollConfig, true, false},
+		"all":                    {watch.PollAll, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(s *fakeStore, w *watch.Watcher) {
-				w.SetAsking(tc.asking, time.Second)
+				w.SetPolling(tc.asking, time.Second)
 				s.put(configTable, "config", "1")
 				s.put("hosts", "other", `{"addr":"127.0.0.1:1"}`)
 				pass(3 * time.Second)
@@ -423,7 +423,7 @@
 // stood still meanwhile the proof would be fresh, and keys in use for as much longer.
 func TestSuspensionAgesProofs(t *testing.T) {
 	var boot atomic.Int64
-	clock := boottime.New(boottime.WithBoot(func() (time.Duration, error) { return time.Duration(boot.Load()), nil }))
+	clock := boottime.New(boottime.WithBootTime(func() (time.Duration, error) { return time.Duration(boot.Load()), nil }))
 	proof := freshness.NewClock()
 	proof.Observe(clock.Now(), time.Minute)
 	before, _ := proof.Age(time.Minute, clock.Now())
