--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed is what slipcrank needs of a platform that keeps rows in
-// tables and tells what has changed in them.
+// Package feed defines the interface to a platform that stores rows in tables
+// and reports changes to them.
 //
 // # Usage
 //
@@ -15,38 +15,42 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrHistoryGone says that changes since the asked revision are no longer
-// known; the table has to be listed again.
-var ErrHistoryGone = errors.New("the platform has forgotten the changes since this revision")
+// ErrHistoryGone means that the platform no longer has the changes since the
+// given revision; the table has to be listed again.
+var ErrHistoryGone = errors.New("the platform no longer has the changes since this revision")
 
 type (
-	// Row is one row of a table, or the news that it is gone.
+	// Row is one row of a table, or a record of its deletion.
 	Row struct {
-		Key      string
-		Value    []byte
+		Key   string
+		Value []byte
+		// Revision is the platform's revision at which the row was last changed.
 		Revision int64
-		Gone     bool
+		// Gone reports that the row was deleted.
+		Gone bool
 	}
 
-	// Batch is one answer: all rows, or those that changed.
+	// Batch is one answer of the platform: all rows of a table, or the changed ones.
 	Batch struct {
 		Rows []Row
-		// Revision is the newest of the whole platform; the table is complete
-		// up to it.
+		// Revision is the newest revision of the whole platform. The table is
+		// complete up to it.
 		Revision int64
-		// Stamp is the platform's steady clock as the answer was made.
+		// Stamp is the reading of the platform's monotonic clock when it made the
+		// answer.
 		Stamp time.Duration
 	}
 
-	// Source reads tables.
+	// Source reads and writes tables.
 	Source struct {
-		// List returns all rows of a table at one moment. It may take many calls,
-		// and bounds the time of each.
+		// List returns a consistent snapshot of all rows of a table. It may take
+		// several calls, and limits the time of each.
 		List func(ctx context.Context, table string) (Batch, error)
-		// Follow waits, up to wait, for rows that changed after a revision.
+		// Follow returns the rows that changed after a revision. Without any, it
+		// waits for the next change, up to wait.
 		Follow func(ctx context.Context, table string, after int64, wait time.Duration) (Batch, error)
-		// Put writes one row, whatever was there, and returns the platform's
-		// steady clock as it did.
+		// Put writes one row unconditionally, and returns the reading of the
+		// platform's monotonic clock at the time of the write.
 		Put func(ctx context.Context, table, key string, value []byte) (time.Duration, error)
 	}
 )
