--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -1,10 +1,12 @@
-// Package directory keeps what is known of the engines of a fleet: which model
-// copies each holds, its role, and whether it takes work. The owner of an
-// engine writes its record; the records spread by gossip.
+// Package directory keeps the records of the engines of a fleet: the model
+// copies on each engine, its role, and whether it accepts work. The owner of an
+// engine writes the engine's record; the records spread by gossip.
 //
-// An engine that stays down is forgotten by each daemon in its own time. So
-// that a daemon which forgets later does not bring it back, the record of an
-// engine that is down is only taken where the engine is known.
+// Each daemon deletes the record of an engine some time after it has seen that
+// the engine is down, so the daemons delete it at different times. A record with
+// status Down is therefore merged only if the engine is in the directory.
+// Otherwise a daemon that deletes the engine late would add it again on those
+// that have already deleted it.
 //
 // # Usage
 //
@@ -23,27 +25,28 @@
 	"slipcrank.example/core/gossip"
 )
 
-// Status of an engine.
+// Status is the status of an engine.
 type Status uint8
 
-// The statuses. Only engines that are up get work.
+// Statuses of an engine, in ascending precedence. Only engines that are Up get work.
 const (
 	Up Status = iota
 	Leaving
 	Down
 )
 
-// DownRetention is how long an engine that is down stays in the directory.
+// DownRetention is how long the directory keeps the record of an engine that is
+// down.
 const DownRetention = 10 * time.Minute
 
 type (
-	// Copy is a model in one version.
+	// Copy is a copy of one version of a model.
 	Copy struct {
 		Model   string `json:"model"`
 		Version string `json:"version"`
 	}
 
-	// Engine is the record of one engine: an immutable value.
+	// Engine is the record of one engine. It is an immutable value.
 	Engine struct {
 		Addr        string `json:"addr"`
 		Hall        string `json:"hall"`
@@ -55,14 +58,14 @@
 		TotalTokens int    `json:"total_tokens"`
 	}
 
-	// Directory holds the records. One goroutine owns it.
+	// Directory holds the records of all engines. It is not safe for concurrent use.
 	Directory struct {
 		set       *gossip.Set[Engine]
 		downSince map[string]time.Time
 	}
 )
 
-// String returns the status as a word.
+// String returns the name of the status.
 func (s Status) String() string {
 	switch s {
 	case Up:
@@ -74,15 +77,16 @@
 	}
 }
 
-// Holds reports whether the engine has a copy of model; an empty version
-// means any.
+// Holds reports whether the engine has a copy of a model. An empty version
+// matches any version.
 func (e Engine) Holds(model, version string) bool {
 	return slices.ContainsFunc(e.Copies, func(c Copy) bool {
 		return c.Model == model && (version == "" || c.Version == version)
 	})
 }
 
-// EqualState reports whether e and o say the same, whatever their revisions.
+// EqualState reports whether e and o are equal in incarnation, role, status,
+// tokens and copies, apart from their revisions.
 func (e Engine) EqualState(o Engine) bool {
 	return e.Incarnation == o.Incarnation && e.Role == o.Role && e.Status == o.Status &&
 		e.TotalTokens == o.TotalTokens && slices.Equal(e.Copies, o.Copies)
@@ -102,9 +106,9 @@
 	}
 }
 
-// newer orders records. Two owners may write the same revision for a moment;
-// their records are then ordered by what they say, so that all daemons keep
-// the same one until the next revision.
+// newer reports whether a replaces b. For a short time an engine may have two
+// owners that write the same revision. Such records are ordered by their
+// contents, so that all daemons keep the same one until the next revision.
 func newer(a, b Engine) bool {
 	if c := cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Revision, b.Revision)); c != 0 {
 		return c > 0
@@ -115,8 +119,8 @@
 	return fmt.Sprint(a) > fmt.Sprint(b)
 }
 
-// Merge takes a record and reports whether it was news. That an unknown engine
-// is down is none.
+// Merge stores a record if it is newer, and reports whether it was. It ignores
+// records of unknown engines that are down.
 func (d *Directory) Merge(e Engine) bool {
 	if _, known := d.set.Get(e.Addr); !known && e.Status == Down {
 		return false
@@ -124,27 +128,27 @@
 	return d.set.Merge(e)
 }
 
-// Tick forgets the engines that have been down for [DownRetention], and reports
+// Tick deletes the engines that have been down for [DownRetention], and reports
 // whether there were any.
 func (d *Directory) Tick(now time.Time) bool {
-	forgot := false
+	deleted := false
 	for _, e := range d.set.All() {
-		since, noted := d.downSince[e.Addr]
+		since, recorded := d.downSince[e.Addr]
 		switch {
 		case e.Status != Down:
 			delete(d.downSince, e.Addr)
-		case !noted:
+		case !recorded:
 			d.downSince[e.Addr] = now
 		case now.Sub(since) >= DownRetention:
 			d.Delete(e.Addr)
-			forgot = true
+			deleted = true
 		}
 	}
-	return forgot
+	return deleted
 }
 
-// Observe writes what the owner of an engine has seen, under the next
-// revision, and reports whether it differs from what was known.
+// Observe stores the state of an engine as observed by its owner, under the next
+// revision, and reports whether it differs from the stored record.
 func (d *Directory) Observe(e Engine) bool {
 	old, ok := d.set.Get(e.Addr)
 	if (ok && old.EqualState(e)) || (!ok && e.Status == Down) {
@@ -158,17 +162,19 @@
 // Get returns the record of the engine at addr, and whether there is one.
 func (d *Directory) Get(addr string) (Engine, bool) { return d.set.Get(addr) }
 
-// All returns all records by address.
+// All returns all records, sorted by address.
 func (d *Directory) All() []Engine { return d.set.All() }
 
-// Delete forgets the engine at addr.
+// Delete removes the record of the engine at addr.
 func (d *Directory) Delete(addr string) {
 	d.set.Delete(addr)
 	delete(d.downSince, addr)
 }
 
-// Updates returns at most n records that others may not know.
+// Updates returns at most n records that other daemons, members in number, may
+// not have yet.
 func (d *Directory) Updates(n, members int) []Engine { return d.set.Updates(n, members) }
 
-// PeerInSync says that some other daemon, of so many, has the same records.
+// PeerInSync records that another daemon, picked at random among members daemons,
+// has the same records.
 func (d *Directory) PeerInSync(members int) { d.set.PeerInSync(members) }
