--- a/core/site/site.go
+++ b/core/site/site.go
@@ -1,8 +1,8 @@
-// Package site holds the configuration of a whole site: which routes lead to
-// which services, who may call, and the limits on what callers send.
+// Package site holds the configuration of a site: the routes from requests to
+// services, the callers' workspaces, and the limits on what callers send.
 //
-// A [Config] is immutable. It is made whole from one version of what the
-// operator wrote, and looked things up in by any number of goroutines.
+// A [Config] is immutable. It is built from one version of the operator's
+// configuration, and is safe for concurrent use.
 //
 // # Usage
 //
@@ -17,120 +17,125 @@
 	"time"
 )
 
-// What may be done again with a request of a route.
+// Kinds of requests.
 const (
 	// Repeatable requests may run more than once.
 	Repeatable Kind = iota
-	// Once requests run at most once an attempt of the caller.
+	// Once requests run at most once for each attempt of the caller.
 	Once
 	// Stream requests are answered by a series of events.
 	Stream
 )
 
 type (
-	// Kind says what may be repeated.
+	// Kind determines whether the requests of a route may run more than once.
 	Kind int
 
-	// Route leads requests for a host and a path prefix to services.
+	// Route maps requests for a host and a path prefix to services.
 	Route struct {
-		// Name is the operator's, for logs.
+		// Name is the name given by the operator, for logs.
 		Name string
-		// Host is compared with the request's, without its port.
+		// Host is compared with the host of the request, without its port.
 		Host string
 		// Prefix begins and ends with a slash.
 		Prefix string
 		Kind   Kind
-		// Timeout is how long a request may be held; zero for no bound.
+		// Timeout is the maximum duration of a request; zero if the route sets none.
 		Timeout time.Duration
-		// Objective is the time to the answer, or to the first event.
+		// Objective is the time within which the answer, or the first event, is due.
 		Objective time.Duration
-		// Gap is the longest pause between events that still is in time.
+		// Gap is the longest pause between events that still meets the objective.
 		Gap time.Duration
 		// Priority is 0 for the most urgent.
 		Priority int
-		// Targets are the services, by weight.
+		// Targets are the services with their weights.
 		Targets []Target
-		// Attempts is the most backend servers that one request may reach.
+		// Attempts is the maximum number of backend servers that one request may
+		// reach.
 		Attempts int
-		// Public routes need no key.
+		// Public routes require no key.
 		Public bool
-		// Resume says that a broken stream may go on at another backend
-		// server.
+		// Resume reports that an interrupted stream may continue on another
+		// backend server.
 		Resume bool
 	}
 
-	// Target is a service with its part of a route's requests.
+	// Target is a service that receives a share of a route's requests, in proportion
+	// to its weight.
 	Target struct {
 		Service string
 		Weight  float64
 	}
 
-	// Service is a set of backend servers that do the same work.
+	// Service is a set of backend servers that process the same requests.
 	Service struct {
 		Name string
-		// MaxConns is how many connections one backend server takes from all
-		// hosts together; zero if it is not known.
+		// MaxConns is the number of connections that one backend server accepts from
+		// all hosts together; zero if unknown.
 		MaxConns int
 		// Engine describes the model engines of the service; nil for plain
 		// services.
 		Engine *Engine
 	}
 
-	// Engine is the published model of how an engine spends its time.
+	// Engine is the published performance model of an engine. An engine works in
+	// passes, each a batch of token steps.
 	Engine struct {
-		// Slots is how many requests it runs at once.
+		// Slots is the number of requests that an engine runs concurrently.
 		Slots int `yaml:"slots" validate:"gte=1"`
-		// Memory is in tokens.
+		// Memory is the capacity of the KV cache in tokens.
 		Memory int `yaml:"memory" validate:"gte=1"`
-		// StepsPerPass is how many steps a pass has while any request writes.
+		// StepsPerPass is the number of steps of a pass while any request decodes.
 		StepsPerPass int `yaml:"stride" validate:"gte=1"`
-		// StepTime is the time of one token step.
+		// StepTime is the base duration of one token step.
 		StepTime time.Duration `yaml:"step" validate:"gt=0s"`
-		// StepTimePerRequest is added to a step for each request that writes.
+		// StepTimePerRequest is added to a step for each request that decodes.
 		StepTimePerRequest time.Duration `yaml:"per_writer" validate:"gte=0s"`
 		// StepTimePerContext is added to a step for each 1,000 tokens of context of
-		// a request that writes.
+		// the requests that decode.
 		StepTimePerContext time.Duration `yaml:"per_context" validate:"gte=0s"`
-		// PrefillRate is prompt tokens a second.
+		// PrefillRate is the rate of prefill in prompt tokens per second.
 		PrefillRate float64 `yaml:"read_rate" validate:"gt=0"`
-		// PrefillTimePerPairs is the time for a million pairs of a token and one before
-		// it.
+		// PrefillTimePerPairs is the time of prefill for one million pairs of a token
+		// and an earlier one.
 		PrefillTimePerPairs time.Duration `yaml:"per_pairs" validate:"gte=0s"`
-		// PrefillChunk is the most prompt tokens that are read in a step.
+		// PrefillChunk is the maximum number of prompt tokens that are prefilled in a
+		// step.
 		PrefillChunk int `yaml:"chunk" validate:"gte=1"`
-		// UsualPrompt and UsualAnswer are mean sizes in tokens.
+		// UsualPrompt and UsualAnswer are the mean sizes of prompts and answers in
+		// tokens.
 		UsualPrompt int `yaml:"usual_prompt" validate:"gte=1"`
 		UsualAnswer int `yaml:"usual_answer" validate:"gte=0"`
 	}
 
-	// Workspace is a customer's, known by its keys.
+	// Workspace is a set of callers that is identified by its keys.
 	Workspace struct {
 		Name string
-		// Priority goes before that of a route; negative if it has none.
+		// Priority overrides that of a route; negative if the workspace has none.
 		Priority int
 	}
 
-	// Limits bound what callers send.
+	// Limits are the limits on what callers send.
 	Limits struct {
 		HeaderBytes, BodyBytes int
-		// HeaderTime is for the head of a request to arrive, IdleTime how
-		// long a connection may rest between requests.
+		// HeaderTime is the time within which the head of a request has to arrive,
+		// IdleTime how long a connection may be idle between requests.
 		HeaderTime, IdleTime time.Duration
 	}
 
-	// Config is one version of the configuration, whole.
+	// Config is one complete version of the configuration.
 	Config struct {
 		version  int64
 		limits   Limits
 		routes   map[string][]Route // by host, longest prefix first
 		services map[string]Service
 		keys     map[string]Workspace
-		names    []string
+		names    []string // of all services, sorted
 	}
 )
 
-// New returns a configuration. Keys maps each key to its workspace; an empty
-// map means that no route asks for a key.
+// New returns a configuration. Keys maps each key to its workspace; if it is
+// empty, no route requires a key.
 func New(version int64, routes []Route, services []Service, keys map[string]Workspace, limits Limits) *Config {
 	c := &Config{
 		version:  version,
@@ -153,19 +158,20 @@
 	return c
 }
 
-// Version is the operator's number, which rises with each change.
+// Version returns the operator's version number, which rises with each change.
 func (c *Config) Version() int64 { return c.version }
 
-// Limits returns the bounds on what callers send.
+// Limits returns the limits on what callers send.
 func (c *Config) Limits() Limits { return c.limits }
 
-// Keyed reports whether routes that are not public need a key.
+// Keyed reports whether routes that are not public require a key.
 func (c *Config) Keyed() bool { return len(c.keys) > 0 }
 
-// Services returns the names of all services in order.
+// Services returns the sorted names of all services.
 func (c *Config) Services() []string { return c.names }
 
-// Route returns the route of a host with the longest prefix of path.
+// Route returns the route of a host that has the longest prefix of path, and
+// whether there is one.
 func (c *Config) Route(host, path string) (Route, bool) {
 	for _, r := range c.routes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -175,31 +181,32 @@
 	return Route{}, false
 }
 
-// Service returns a service by its name.
+// Service returns the service with a name, and whether there is one.
 func (c *Config) Service(name string) (Service, bool) {
 	s, ok := c.services[name]
 	return s, ok
 }
 
-// Workspace returns the workspace that holds a key.
+// Workspace returns the workspace that a key belongs to, and whether there is one.
 func (c *Config) Workspace(key string) (Workspace, bool) {
 	w, ok := c.keys[key]
 	return w, ok
 }
 
-// Pick returns the service at point x of the route's weights, from 0 up to
-// but without 1.
+// Pick returns the target service for x in [0, 1). The targets divide this
+// interval in proportion to their weights. It returns the empty string if the
+// route has no targets.
 func (r Route) Pick(x float64) string {
 	var sum float64
 	for _, t := range r.Targets {
 		sum += t.Weight
 	}
-	at := x * sum
+	point := x * sum
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if point < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		point -= t.Weight
 	}
 	if len(r.Targets) == 0 {
 		return ""
@@ -207,8 +214,8 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Resumable reports whether a request may run again: a repeatable one, or a
-// stream that may go on elsewhere.
+// Resumable reports whether a request may run again: repeatable requests may, and
+// streams that may continue on another backend server.
 func (r Route) Resumable() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resume
 }
