--- a/daemon/watch/follow.go
+++ b/daemon/watch/follow.go
@@ -11,144 +11,146 @@
 )
 
 const (
-	// answeringPoll is how often the followers of other tables look whether the
-	// platform answers questions for the configuration again.
-	answeringPoll = 100 * time.Millisecond
-	// seldomStart spreads the first questions of those that ask seldom: their
-	// keys are no longer proven, and most are told within this time that the
-	// platform is back.
-	seldomStart = time.Second
-	// seldomPause is their pause after the first question that has failed.
-	seldomPause = 4 * time.Second
+	// answeringCheckInterval is the interval at which the followers of other tables
+	// check whether the platform answers polls for the configuration again.
+	answeringCheckInterval = 100 * time.Millisecond
+	// configOnlyStartSpread is the period over which hosts that begin to poll with
+	// PollConfig spread their first polls. The callers' keys are no longer proven on
+	// these hosts, and most of them learn from others within this period that the
+	// platform has returned.
+	configOnlyStartSpread = time.Second
+	// configOnlyBackoff is their backoff after the first failed poll.
+	configOnlyBackoff = 4 * time.Second
 )
 
-// SetPolling sets which tables the platform is asked for, and the longest pause
-// between questions that fail. What isn't asked for has to be told by other
+// SetPolling sets which tables the platform is polled for, and the maximum backoff
+// between failed polls. Tables that are not polled have to be received from other
 // hosts.
-func (w *Watcher) SetPolling(a PollScope, longest time.Duration) {
-	w.longest.Store(int64(longest))
-	if w.asking.Swap(int32(a)) == int32(a) {
+func (w *Watcher) SetPolling(scope PollScope, maxBackoff time.Duration) {
+	w.maxBackoff.Store(int64(maxBackoff))
+	if w.scope.Swap(int32(scope)) == int32(scope) {
 		return
 	}
 	next := make(chan struct{})
-	close(*w.turned.Swap(&next))
+	close(*w.scopeChanged.Swap(&next))
 }
 
-// asks reports whether the platform is asked for a table.
-func (w *Watcher) asks(table string) bool {
-	a := PollScope(w.asking.Load())
-	return a == PollAll || a == PollHosts && table == w.tables.Hosts || a == PollConfig && table == w.tables.Config
+// polls reports whether the platform is polled for a table.
+func (w *Watcher) polls(table string) bool {
+	s := PollScope(w.scope.Load())
+	return s == PollAll || s == PollHosts && table == w.tables.Hosts || s == PollConfig && table == w.tables.Config
 }
 
-// waits reports whether a question for a table waits for the platform to
-// answer one for the configuration: while it is away, one question of each
-// host is enough to see that it is back.
-func (w *Watcher) waits(table string) bool {
-	return PollScope(w.asking.Load()) == PollAll && table != w.tables.Config && !w.answering.Load()
+// defers reports whether polls for a table are deferred until the platform answers
+// one for the configuration. During an outage, the polls of one table on each host
+// suffice to detect the platform's return.
+func (w *Watcher) defers(table string) bool {
+	return PollScope(w.scope.Load()) == PollAll && table != w.tables.Config && !w.answering.Load()
 }
 
-// follow reads a table whole, then its changes.
+// follow reads a complete table, then its changes.
 func (w *Watcher) follow(ctx context.Context, table string, wait time.Duration) {
 	var revision int64
 	listed := false
-	var failing time.Time
-	rest := firstPause
+	var failingSince time.Time
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		turned := *w.turned.Load()
-		if !w.asks(table) {
+		scopeChanged := *w.scopeChanged.Load()
+		if !w.polls(table) {
 			if table == w.tables.Config {
 				w.answering.Store(false)
 			}
-			select { // most hosts never ask: no timer wakes them
+			select { // most hosts never poll, so they use no timer
 			case <-ctx.Done():
-			case <-turned:
+			case <-scopeChanged:
 			}
 			listed = false
-			rest = w.begin(ctx)
+			backoff = w.startPolling(ctx)
 			continue
 		}
-		if w.waits(table) {
-			if listed && failing.IsZero() {
-				failing = time.Now() // what lapses meanwhile, lapses by the outage
+		if w.defers(table) {
+			if listed && failingSince.IsZero() {
+				failingSince = time.Now() // entries that lapse from now on lapse because of the outage
 			}
-			_ = pause.For(ctx, answeringPoll) // ctx is looked at above
+			_ = pause.For(ctx, answeringCheckInterval) // the loop checks ctx
 			continue
 		}
-		patience := wait
-		if !failing.IsZero() {
-			patience = 0 // what was missed is wanted now, and that the platform is back
+		pollWait := wait
+		if !failingSince.IsZero() {
+			pollWait = 0 // get the missed changes, and detect the platform's return, without delay
 		}
-		b, err := w.ask(ctx, table, listed, revision, patience)
+		b, err := w.poll(ctx, table, listed, revision, pollWait)
 		if errors.Is(err, feed.ErrHistoryGone) {
 			listed = false
-			_ = pause.UpTo(ctx, rest) // ctx is looked at above
-			rest = w.longer(rest)
+			_ = pause.UpTo(ctx, backoff) // the loop checks ctx
+			backoff = w.nextBackoff(backoff)
 			continue
 		}
 		if table == w.tables.Config {
 			w.answering.Store(err == nil)
 		}
-		r := read{table: table, batch: b, whole: !listed, err: err}
-		if err == nil && !failing.IsZero() {
-			r.after = time.Since(failing)
-			failing = time.Time{}
+		r := read{table: table, batch: b, complete: !listed, err: err}
+		if err == nil && !failingSince.IsZero() {
+			r.failing = time.Since(failingSince)
+			failingSince = time.Time{}
 		}
-		if !w.hand(ctx, r) {
+		if !w.deliver(ctx, r) {
 			return
 		}
 		if err != nil {
-			if failing.IsZero() {
-				failing = time.Now()
+			if failingSince.IsZero() {
+				failingSince = time.Now()
 			}
-			_ = pause.UpTo(ctx, rest) // ctx is looked at above
-			rest = w.longer(rest)
+			_ = pause.UpTo(ctx, backoff) // the loop checks ctx
+			backoff = w.nextBackoff(backoff)
 			continue
 		}
-		if listed { // a platform that forgets as soon as it is listed is not well
-			rest = firstPause
+		if listed { // not after a list: the platform may discard its history again at once
+			backoff = minBackoff
 		}
 		listed, revision = true, b.Revision
 		if len(b.Rows) > 0 {
-			_ = pause.For(ctx, w.gathering(table)) // ctx is looked at above
+			_ = pause.For(ctx, w.pollDelay(table)) // the loop checks ctx
 		}
 	}
 }
 
-// begin waits for a while before the first question of one that asks seldom, and
-// returns the pause after it, should it fail.
-func (w *Watcher) begin(ctx context.Context) time.Duration {
-	if PollScope(w.asking.Load()) != PollConfig {
-		return firstPause
+// startPolling returns the first backoff after the scope of polling has changed. With
+// PollConfig it first waits for a random part of configOnlyStartSpread.
+func (w *Watcher) startPolling(ctx context.Context) time.Duration {
+	if PollScope(w.scope.Load()) != PollConfig {
+		return minBackoff
 	}
-	_ = pause.UpTo(ctx, seldomStart) // the caller looks at ctx
-	return seldomPause
+	_ = pause.UpTo(ctx, configOnlyStartSpread) // the caller checks ctx
+	return configOnlyBackoff
 }
 
-// longer is the pause after another question that has failed.
-func (w *Watcher) longer(rest time.Duration) time.Duration {
-	return min(2*rest, time.Duration(w.longest.Load()))
+// nextBackoff returns the backoff after another failed poll.
+func (w *Watcher) nextBackoff(backoff time.Duration) time.Duration {
+	return min(2*backoff, time.Duration(w.maxBackoff.Load()))
 }
 
-// gathering is how long to wait for more changes before the next question.
-func (w *Watcher) gathering(table string) time.Duration {
+// pollDelay returns the delay between an answer with changes and the next poll.
+func (w *Watcher) pollDelay(table string) time.Duration {
 	hosts := len(w.State().Hosts)
 	switch {
-	case w.Now() >= startTime:
-		return gather
+	case w.Now() >= startPeriod:
+		return batchDelay
 	case hosts == 0 && table != w.tables.Hosts:
-		return firstGather
+		return startBatchDelay
 	}
-	return min(max(time.Duration(hosts)*gatherPerHost, gather), firstGather)
+	return min(max(time.Duration(hosts)*startBatchDelayPerHost, batchDelay), startBatchDelay)
 }
 
-// ask lists a table, or asks for its changes. A list may take several calls, of
-// which the source bounds each: how long all take depends on the fleet.
-func (w *Watcher) ask(ctx context.Context, table string, listed bool, revision int64, wait time.Duration) (feed.Batch, error) {
+// poll lists a table, or waits for its changes. A list has no timeout here: it may
+// take several calls, depending on the size of the fleet, and the source limits the
+// time of each.
+func (w *Watcher) poll(ctx context.Context, table string, listed bool, revision int64, wait time.Duration) (feed.Batch, error) {
 	sent := w.Now()
 	var b feed.Batch
 	var err error
 	if listed {
-		c, cancel := context.WithTimeout(ctx, wait+answerTime)
+		c, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 		defer cancel()
 		b, err = w.source.Follow(c, table, revision, wait)
 	} else {
@@ -156,7 +158,7 @@
 	}
 	w.metrics.Count("platform_calls", 1, "table", table)
 	if err == nil {
-		w.clock.Observe(sent, b.Stamp)
+		w.platformClock.Observe(sent, b.Stamp)
 	}
 	return b, err
 }
--- a/daemon/watch/relay.go
+++ b/daemon/watch/relay.go
@@ -12,90 +12,92 @@
 	"slipcrank.example/core/feed"
 )
 
-// maxWaiting is how many updates a slow listener may leave unread.
-const maxWaiting = 64
+// maxPendingUpdates is the maximum number of updates that a slow subscriber may leave
+// unread.
+const maxPendingUpdates = 64
 
 type (
-	// Update is what was read of a table, for other hosts.
+	// Update carries what was read from a table to other hosts.
 	Update struct {
 		Table string     `cbor:"1,keyasint"`
 		Rows  []feed.Row `cbor:"2,keyasint,omitempty"`
-		// Complete says that rows which aren't named don't exist.
+		// Complete reports that Rows are all rows of the table.
 		Complete bool  `cbor:"3,keyasint,omitempty"`
 		Revision int64 `cbor:"4,keyasint"`
-		// Stamp is the platform's steady clock when this was true.
+		// Stamp is the reading of the platform's monotonic clock at which the rows
+		// were current.
 		Stamp time.Duration `cbor:"5,keyasint"`
-		// Returned is the stamp at which the platform was back from its last
-		// absence, 0 if it has not been away.
+		// Returned is the stamp at which the platform returned from its last outage,
+		// 0 if there was none.
 		Returned time.Duration `cbor:"8,keyasint,omitempty"`
-		// Clock is at least what the platform's steady clock shows as this is
-		// sent; only in the first updates of a listener.
+		// Clock is an upper bound on the reading of the platform's monotonic clock at
+		// the time of sending. Only the first updates to a subscriber have it.
 		Clock time.Duration `cbor:"7,keyasint,omitempty"`
 	}
 
-	// table is what is known of one, to tell new listeners.
+	// table holds the known rows of a table, for new subscribers.
 	table struct {
 		rows     map[string]feed.Row
 		revision int64
 		stamp    time.Duration
-		digest   uint64 // of all rows, whatever their order
+		digest   uint64 // of all rows, independent of their order
 	}
 
-	// listener is another host that hears updates.
-	listener struct {
+	// subscriber is another host that receives updates.
+	subscriber struct {
 		updates chan Update
-		// knows are the digests of the tables that it knew as it came.
-		knows map[string]uint64
+		// digests are the digests of the tables that the host had when it subscribed.
+		digests map[string]uint64
 	}
 )
 
-// Subscribe returns updates, first of each table: all its rows, or none if the
-// listener knows the same ones by their digest. The channel is closed if its
-// reader is too slow. The returned function ends the subscription.
-func (w *Watcher) Subscribe(knows map[string]uint64) (<-chan Update, func()) {
-	c := make(chan Update, maxWaiting)
-	w.tell <- listener{c, knows}
-	return c, func() { w.leave <- c }
+// Subscribe returns a channel of updates. The first ones hold all rows of each table,
+// or none if the table's digest is the one in digests, which are the subscriber's. The
+// channel is closed if the subscriber reads too slowly, or if the platform's clock
+// isn't known yet. The returned function ends the subscription.
+func (w *Watcher) Subscribe(digests map[string]uint64) (<-chan Update, func()) {
+	c := make(chan Update, maxPendingUpdates)
+	w.subscribe <- subscriber{c, digests}
+	return c, func() { w.unsubscribe <- c }
 }
 
-// Digests returns digests of the rows that are known, by table.
+// Digests returns the digests of the known rows, by table.
 func (w *Watcher) Digests() map[string]uint64 { return *w.digests.Load() }
 
-// digest is of one row. Those of a table's rows are combined by exclusive or,
-// so that one row is taken out or in at a time.
-func digest(r feed.Row) uint64 {
+// rowDigest returns the digest of one row. The digest of a table is the exclusive or of
+// those of its rows, so that single rows can be added and removed.
+func rowDigest(r feed.Row) uint64 {
 	return xxhash.Sum64String(r.Key + "\x00" + strconv.FormatInt(r.Revision, 10))
 }
 
-// Receive takes in an update of another host, which was asked for updates at the
-// time asked.
-func (w *Watcher) Receive(ctx context.Context, u Update, asked time.Duration) {
+// Receive applies an update from another host. Sent is the local time at which the
+// subscription that it belongs to was requested.
+func (w *Watcher) Receive(ctx context.Context, u Update, sent time.Duration) {
 	if u.Clock > 0 {
-		w.clock.Observe(asked, u.Clock)
+		w.platformClock.Observe(sent, u.Clock)
 	}
-	w.hand(ctx, read{
-		table: u.Table,
-		batch: feed.Batch{Rows: u.Rows, Revision: u.Revision, Stamp: u.Stamp},
-		whole: u.Complete,
-		told:  true, returned: u.Returned,
+	w.deliver(ctx, read{
+		table:    u.Table,
+		batch:    feed.Batch{Rows: u.Rows, Revision: u.Revision, Stamp: u.Stamp},
+		complete: u.Complete,
+		relayed:  true, returned: u.Returned,
 	})
 }
 
-// ObserveClock takes in a reading of the platform's steady clock, in the
-// answer to a question sent at the time asked.
-func (w *Watcher) ObserveClock(asked, stamp time.Duration) { w.clock.Observe(asked, stamp) }
+// ObserveClock records a reading of the platform's monotonic clock from the answer to
+// a question that was sent at the local time sent.
+func (w *Watcher) ObserveClock(sent, stamp time.Duration) { w.platformClock.Observe(sent, stamp) }
 
-// known reports whether what another host tells is no newer than what is
-// known.
-func (w *Watcher) known(r read) bool {
+// isStale reports whether r is no newer than the known rows of its table.
+func (w *Watcher) isStale(r read) bool {
 	t := w.rows[r.table]
 	return t != nil && r.batch.Stamp <= t.stamp
 }
 
-// pass keeps what was read and tells all listeners what is new in it.
-func (w *Watcher) pass(r read) {
+// relay stores the rows that were read and sends the changes to all subscribers.
+func (w *Watcher) relay(r read) {
 	u := Update{
-		Table: r.table, Rows: r.batch.Rows, Complete: r.whole,
+		Table: r.table, Rows: r.batch.Rows, Complete: r.complete,
 		Revision: r.batch.Revision, Stamp: r.batch.Stamp, Returned: w.returned,
 	}
 	t := w.rows[r.table]
@@ -103,7 +105,7 @@
 	case t == nil:
 		t = &table{rows: map[string]feed.Row{}}
 		w.rows[r.table] = t
-	case r.whole:
+	case r.complete:
 		u.Rows, u.Complete = t.changes(r.batch), false
 	}
 	t.apply(u.Rows)
@@ -112,24 +114,24 @@
 	digests := maps.Clone(*w.digests.Load())
 	digests[r.table] = t.digest
 	w.digests.Store(&digests)
-	for c := range w.heard {
-		w.offer(c, u)
+	for c := range w.subscribers {
+		w.send(c, u)
 	}
 }
 
-// Merge returns one update in place of two of the same table, of which the
-// second is newer: of each row its newest state.
+// Merge combines two consecutive updates of a table into one, with the newest state of
+// each row. Next is the newer update.
 func (u Update) Merge(next Update) Update {
 	if next.Complete {
 		return next
 	}
-	last := map[string]int{}
+	index := map[string]int{}
 	rows := slices.Clone(u.Rows)
 	for i, r := range rows {
-		last[r.Key] = i
+		index[r.Key] = i
 	}
 	for _, r := range next.Rows {
-		if i, ok := last[r.Key]; ok {
+		if i, ok := index[r.Key]; ok {
 			rows[i] = r
 			continue
 		}
@@ -139,71 +141,73 @@
 	return next
 }
 
-// changes returns the rows of a whole list that differ from those that are
-// known, and those that it lacks as gone. A list of a large fleet's servers
-// would keep the links to all listeners busy for seconds.
-func (t *table) changes(whole feed.Batch) []feed.Row {
+// changes returns the rows of a complete list that are newer than the known ones, and
+// the known rows that it lacks, marked as gone. Sending the complete list of a large
+// fleet's servers would occupy the links to all subscribers for seconds.
+func (t *table) changes(list feed.Batch) []feed.Row {
 	var rows []feed.Row
 	present := map[string]bool{}
-	for _, r := range whole.Rows {
+	for _, r := range list.Rows {
 		present[r.Key] = true
 		if old, ok := t.rows[r.Key]; !ok || old.Revision < r.Revision {
 			rows = append(rows, r)
 		}
 	}
 	for key, old := range t.rows {
-		if !present[key] && old.Revision <= whole.Revision {
-			rows = append(rows, feed.Row{Key: key, Revision: whole.Revision, Gone: true})
+		if !present[key] && old.Revision <= list.Revision {
+			rows = append(rows, feed.Row{Key: key, Revision: list.Revision, Gone: true})
 		}
 	}
 	return rows
 }
 
-// apply brings changed rows into the table.
+// apply applies changed rows to the table.
 func (t *table) apply(rows []feed.Row) {
 	for _, row := range rows {
 		if old, ok := t.rows[row.Key]; ok {
-			t.digest ^= digest(old)
+			t.digest ^= rowDigest(old)
 			delete(t.rows, row.Key)
 		}
 		if !row.Gone {
 			t.rows[row.Key] = row
-			t.digest ^= digest(row)
+			t.digest ^= rowDigest(row)
 		}
 	}
 }
 
-// offer tells a listener, or ends its subscription if it is too slow.
-func (w *Watcher) offer(c chan Update, u Update) {
+// send sends an update to a subscriber, or ends the subscription if the subscriber
+// reads too slowly.
+func (w *Watcher) send(c chan Update, u Update) {
 	select {
 	case c <- u:
 	default:
-		w.dismiss(c)
+		w.removeSubscriber(c)
 	}
 }
 
-// welcome tells a new listener all that is known. Without a reading of the
-// platform's clock nothing can be proven to it, so it has to come again.
-func (w *Watcher) welcome(l listener) {
-	c := l.updates
+// addSubscriber sends the known rows of all tables to a new subscriber. Without a
+// reading of the platform's clock, these would prove nothing to the subscriber: its
+// channel is closed, and it has to subscribe again later.
+func (w *Watcher) addSubscriber(s subscriber) {
+	c := s.updates
 	clock, known := w.PlatformClock()
 	if !known {
 		close(c)
 		return
 	}
-	w.heard[c] = true
+	w.subscribers[c] = true
 	for name, t := range w.rows {
 		u := Update{Table: name, Revision: t.revision, Stamp: t.stamp, Clock: clock, Returned: w.returned}
-		if knows, ok := l.knows[name]; !ok || knows != t.digest {
+		if digest, ok := s.digests[name]; !ok || digest != t.digest {
 			u.Complete, u.Rows = true, slices.Collect(maps.Values(t.rows))
 		}
-		w.offer(c, u)
+		w.send(c, u)
 	}
 }
 
-func (w *Watcher) dismiss(c chan Update) {
-	if w.heard[c] {
-		delete(w.heard, c)
+func (w *Watcher) removeSubscriber(c chan Update) {
+	if w.subscribers[c] {
+		delete(w.subscribers, c)
 		close(c)
 	}
 }
--- a/daemon/watch/relay_test.go
+++ b/daemon/watch/relay_test.go
@@ -10,27 +10,28 @@
 	"slipcrank.example/daemon/watch"
 )
 
-// TestListenersAreToldChangesOnly has the platform forget its history, so that
-// a table is listed anew.
-func TestListenersAreToldChangesOnly(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
+// TestRelistedTableIsRelayedAsChanges: a table is listed again because the platform
+// has discarded its history. Subscribers receive the changed rows only, not the
+// complete table.
+func TestRelistedTableIsRelayedAsChanges(t *testing.T) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
 		for _, key := range []string{"a", "b", "c"} {
 			s.put(serversTable, key, `{"Service":"s"}`)
 		}
 		settle()
-		updates, leave := w.Subscribe(nil)
-		defer leave()
-		pass(time.Second)
-		told(updates, serversTable) // all that is known
-		s.set(func() { s.forgets = true })
+		updates, unsubscribe := w.Subscribe(nil)
+		defer unsubscribe()
+		sleep(time.Second)
+		pending(updates, serversTable) // the known rows
+		s.set(func() { s.historyGone = true })
 		s.remove(serversTable, "a")
 		s.put(serversTable, "b", `{"Service":"s","Draining":true}`)
-		pass(3 * time.Second)
-		s.set(func() { s.forgets = false })
+		sleep(3 * time.Second)
+		s.set(func() { s.historyGone = false })
 		gone, changed := 0, 0
-		for _, u := range told(updates, serversTable) {
+		for _, u := range pending(updates, serversTable) {
 			if u.Complete {
-				t.Error("the whole table is told again")
+				t.Error("received the complete table again")
 			}
 			for _, r := range u.Rows {
 				if r.Gone {
@@ -41,13 +42,13 @@
 			}
 		}
 		if gone != 1 || changed != 1 {
-			t.Errorf("%d rows are told as gone and %d as changed, want 1 and 1", gone, changed)
+			t.Errorf("received %d rows as gone and %d as changed, want 1 and 1", gone, changed)
 		}
 	})
 }
 
-// told takes the updates of a table that wait.
-func told(updates <-chan watch.Update, table string) []watch.Update {
+// pending receives the updates in the channel and returns those of a table.
+func pending(updates <-chan watch.Update, table string) []watch.Update {
 	var us []watch.Update
 	for {
 		select {
@@ -61,37 +62,38 @@
 	}
 }
 
-// TestEntriesThatGoByWordOfOthers has a host that is told by others alone hear
-// nothing for a while, and then that a server's entry has gone.
-func TestEntriesThatGoByWordOfOthers(t *testing.T) {
+// TestRelayedRemovalAfterGap: a host that doesn't poll receives no updates for some
+// time, and then that a server's entry is gone. The server is retained only if the
+// other host reports that the platform has returned from an outage.
+func TestRelayedRemovalAfterGap(t *testing.T) {
 	for name, tc := range map[string]struct {
-		away bool // the platform was, by the word of the other host
-		want int
+		outage bool // of the platform, as reported by the other host
+		want   int
 	}{
-		"the way to the other host was slow": {false, 0},
-		"the platform was away":              {true, 1},
+		"slow connection to the other host": {false, 0},
+		"outage of the platform":            {true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(s *fakeStore, w *watch.Watcher) {
+			runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
 				w.SetPolling(watch.PollNothing, time.Second)
-				pass(time.Second)
+				sleep(time.Second)
 				clock := func() time.Duration { return time.Since(s.start) + time.Hour }
 				var returned time.Duration
-				tell := func(table string, rows ...feed.Row) {
-					asked := w.Now()
+				relay := func(table string, rows ...feed.Row) {
+					sent := w.Now()
 					w.Receive(context.Background(), watch.Update{
 						Table: table, Rows: rows, Revision: 9, Stamp: clock(), Clock: clock(), Returned: returned,
-					}, asked)
+					}, sent)
 				}
-				tell(configTable, feed.Row{Key: "config", Value: []byte("1"), Revision: 1})
-				tell(serversTable, feed.Row{Key: "a", Value: []byte(`{"Service":"s"}`), Revision: 2})
-				pass(5 * time.Second)
-				if tc.away {
+				relay(configTable, feed.Row{Key: "config", Value: []byte("1"), Revision: 1})
+				relay(serversTable, feed.Row{Key: "a", Value: []byte(`{"Service":"s"}`), Revision: 2})
+				sleep(5 * time.Second)
+				if tc.outage {
 					returned = clock()
 				}
-				tell(configTable)
-				tell(serversTable, feed.Row{Key: "a", Revision: 3, Gone: true})
-				pass(time.Second)
+				relay(configTable)
+				relay(serversTable, feed.Row{Key: "a", Revision: 3, Gone: true})
+				sleep(time.Second)
 				if got := len(w.State().Servers.Ready("s")); got != tc.want {
 					t.Errorf("%d servers are ready, want %d", got, tc.want)
 				}
@@ -100,7 +102,7 @@
 	}
 }
 
-func TestJoin(t *testing.T) {
+func TestMerge(t *testing.T) {
 	row := func(key string, revision int64, gone bool) feed.Row {
 		return feed.Row{Key: key, Revision: revision, Gone: gone}
 	}
@@ -109,11 +111,11 @@
 		next watch.Update
 		want []feed.Row
 	}{
-		"a proof":       {watch.Update{Table: "t", Revision: 3, Stamp: 3}, first.Rows},
-		"a newer row":   {watch.Update{Table: "t", Rows: []feed.Row{row("a", 3, false)}, Stamp: 3}, []feed.Row{row("a", 3, false), row("b", 2, false)}},
-		"another row":   {watch.Update{Table: "t", Rows: []feed.Row{row("c", 3, false)}, Stamp: 3}, []feed.Row{row("a", 1, false), row("b", 2, false), row("c", 3, false)}},
-		"one that went": {watch.Update{Table: "t", Rows: []feed.Row{row("b", 3, true)}, Stamp: 3}, []feed.Row{row("a", 1, false), row("b", 3, true)}},
-		"all rows":      {watch.Update{Table: "t", Rows: []feed.Row{row("c", 3, false)}, Complete: true, Stamp: 3}, []feed.Row{row("c", 3, false)}},
+		"proof":           {watch.Update{Table: "t", Revision: 3, Stamp: 3}, first.Rows},
+		"newer row":       {watch.Update{Table: "t", Rows: []feed.Row{row("a", 3, false)}, Stamp: 3}, []feed.Row{row("a", 3, false), row("b", 2, false)}},
+		"new row":         {watch.Update{Table: "t", Rows: []feed.Row{row("c", 3, false)}, Stamp: 3}, []feed.Row{row("a", 1, false), row("b", 2, false), row("c", 3, false)}},
+		"removed row":     {watch.Update{Table: "t", Rows: []feed.Row{row("b", 3, true)}, Stamp: 3}, []feed.Row{row("a", 1, false), row("b", 3, true)}},
+		"complete update": {watch.Update{Table: "t", Rows: []feed.Row{row("c", 3, false)}, Complete: true, Stamp: 3}, []feed.Row{row("c", 3, false)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := first.Merge(tc.next)
--- a/daemon/watch/suspects.go
+++ b/daemon/watch/suspects.go
@@ -9,33 +9,36 @@
 )
 
 const (
-	// suspectPrefix begins the keys of suspects in the table of hosts, which all
-	// hosts follow already; no host's name has a slash.
+	// suspectPrefix is the prefix of the keys of suspects in the table of hosts,
+	// which all hosts follow already. No host's name contains a slash.
 	suspectPrefix = "/suspect/"
-	// suspectKeys is how many keys there are, so that the table doesn't grow:
-	// a newer suspect takes the place of an older one with the same key.
+	// suspectKeys is the number of keys for suspects, which limits the size of the
+	// table. A newer suspect replaces an older one with the same key.
 	suspectKeys = 64
 )
 
-// Suspect is a request under which servers ended, as the platform keeps it.
+// Suspect is a request that was running on servers when these crashed, as stored on
+// the platform.
 type Suspect struct {
 	Record quarantine.Record `json:"record"`
-	// AtMS is the platform's steady clock as it was written.
+	// AtMS is the reading of the platform's monotonic clock, in milliseconds, when
+	// the suspect was stored.
 	AtMS int64 `json:"at_ms"`
 }
 
-// NewSuspect returns a suspect as it is kept from the time at on the platform's
-// clock.
+// NewSuspect returns a suspect that is stored at the time at of the platform's
+// monotonic clock.
 func NewSuspect(r quarantine.Record, at time.Duration) Suspect {
 	return Suspect{Record: r, AtMS: at.Milliseconds()}
 }
 
-// At is the platform's steady clock as it was written.
+// At returns the reading of the platform's monotonic clock when the suspect was
+// stored.
 func (s Suspect) At() time.Duration { return time.Duration(s.AtMS) * time.Millisecond }
 
-// SuspectKey is the key of a suspect in the table of hosts.
-func SuspectKey(p quarantine.Fingerprint) string {
-	return fmt.Sprintf("%s%02d", suspectPrefix, p[0]%suspectKeys)
+// SuspectKey returns the key of a suspect in the table of hosts.
+func SuspectKey(f quarantine.Fingerprint) string {
+	return fmt.Sprintf("%s%02d", suspectPrefix, f[0]%suspectKeys)
 }
 
 func isSuspect(key string) bool { return strings.HasPrefix(key, suspectPrefix) }
--- a/daemon/watch/take.go
+++ b/daemon/watch/take.go
@@ -10,8 +10,8 @@
 	"slipcrank.example/daemon/event"
 )
 
-// take brings what was read into the state.
-func (w *Watcher) take(r read) {
+// apply applies what was read to the state.
+func (w *Watcher) apply(r read) {
 	if r.err != nil {
 		if !w.lost[r.table] {
 			w.lost[r.table] = true
@@ -19,89 +19,92 @@
 		}
 		return
 	}
-	if r.told && w.known(r) {
+	if r.relayed && w.isStale(r) {
 		return
 	}
-	if w.lost[r.table] && !r.told {
+	if w.lost[r.table] && !r.relayed {
 		w.lost[r.table] = false
-		w.log.Write(event.PlatformBack, slog.String("table", r.table), slog.Duration("after", r.after))
+		w.log.Write(event.PlatformBack, slog.String("table", r.table), slog.Duration("after", r.failing))
 	}
-	w.noteReturn(r)
+	w.detectReturn(r)
 	changed := false
 	switch r.table {
 	case w.tables.Config:
-		w.answered = max(w.answered, r.batch.Stamp)
-		changed = w.takeConfig(r)
+		w.lastConfig = max(w.lastConfig, r.batch.Stamp)
+		changed = w.applyConfig(r)
 	case w.tables.Servers:
-		changed = w.takeServers(r)
+		changed = w.applyServers(r)
 	case w.tables.Hosts:
-		changed = w.takeHosts(r)
+		changed = w.applyHosts(r)
 	}
-	if l := w.book.TakeChanges(); len(l) > 0 {
-		age, _ := w.clock.Age(r.batch.Stamp, w.Now())
-		w.logLeaving(l, r.told, age)
+	if l := w.servers.TakeChanges(); len(l) > 0 {
+		age, _ := w.platformClock.Age(r.batch.Stamp, w.Now())
+		w.logServerChanges(l, r.relayed, age)
 	}
 	if changed {
 		w.publish()
 	}
 	if r.table == w.tables.Servers {
-		w.listed.Store(max(w.listed.Load(), int64(r.batch.Stamp)))
+		w.serversProof.Store(max(w.serversProof.Load(), int64(r.batch.Stamp)))
 	}
 	if changed && r.table == w.tables.Servers {
 		w.log.Write(event.ServersChanged, slog.Int("servers", w.State().Servers.Len()), slog.Int64("revision", r.batch.Revision))
 	}
 	if r.table == w.tables.Config && w.config != nil {
-		w.proven.Store(max(w.proven.Load(), int64(r.batch.Stamp)))
-		if r.told {
-			w.told.Store(int64(r.batch.Stamp))
+		w.configProof.Store(max(w.configProof.Load(), int64(r.batch.Stamp)))
+		if r.relayed {
+			w.relayedProof.Store(int64(r.batch.Stamp))
 		}
 	}
-	w.pass(r)
+	w.relay(r)
 }
 
-// noteReturn notes that the platform has been away, if this host's questions
-// failed for long, or another host says so, and nobody told this one a proof
-// meanwhile. Neither alone is enough: the platform may turn one host or a hall away
-// and serve others, and a host that hears proofs late has missed nothing.
+// detectReturn detects the platform's return from an outage, which makes the registry
+// retain servers whose entries may have lapsed. Two conditions have to hold: this
+// host had no answer about the configuration for some time, from the platform or from
+// another host, and either its own polls failed for more than minOutage or another
+// host reports a return. Neither is sufficient alone: the platform may refuse one
+// host or a hall while it serves others, and a host that merely receives proofs late
+// has missed nothing.
 //
-// It was back when the first proof was made after that: those who find it out later,
-// or tell it again, would have servers kept that have left since.
-func (w *Watcher) noteReturn(r read) {
-	if gap := r.batch.Stamp - w.answered; w.answered > 0 && gap > w.tables.PollWait+outageTime {
-		w.missed = span{w.answered, r.batch.Stamp}
+// The time of the return is the first proof after the gap. Later reports of the same
+// return don't change it, since that would retain servers that have left since.
+func (w *Watcher) detectReturn(r read) {
+	if elapsed := r.batch.Stamp - w.lastConfig; w.lastConfig > 0 && elapsed > w.tables.PollWait+minOutage {
+		w.gap = interval{w.lastConfig, r.batch.Stamp}
 	}
-	if w.missed.to == 0 || w.returned > w.missed.from { // there was none, or it is known
+	if w.gap.to == 0 || w.returned > w.gap.from { // no gap, or its return is already recorded
 		return
 	}
 	switch {
-	case r.told && r.returned > w.missed.from:
-		w.returned = min(r.returned, w.missed.to)
-	case !r.told && r.after > outageTime:
-		w.returned = w.missed.to
+	case r.relayed && r.returned > w.gap.from:
+		w.returned = min(r.returned, w.gap.to)
+	case !r.relayed && r.failing > minOutage:
+		w.returned = w.gap.to
 	default:
 		return
 	}
-	age, _ := w.clock.Age(w.returned, w.Now())
-	w.book.PlatformReturned(w.Now() - age)
-	w.logReturn(r.told, age)
+	age, _ := w.platformClock.Age(w.returned, w.Now())
+	w.servers.PlatformReturned(w.Now() - age)
+	w.logReturn(r.relayed, age)
 }
 
-func (w *Watcher) logReturn(told bool, ago time.Duration) {
-	w.log.Write(event.PlatformReturned, slog.Bool("told", told), slog.Duration("ago", ago))
+func (w *Watcher) logReturn(relayed bool, age time.Duration) {
+	w.log.Write(event.PlatformReturned, slog.Bool("told", relayed), slog.Duration("ago", age))
 }
 
-// logLeaving writes how servers began and ceased to leave, by news of this age: 0 for
-// a time that is over.
-func (w *Watcher) logLeaving(leaving []backend.Change, told bool, age time.Duration) {
-	for _, l := range leaving {
-		w.log.Write(event.ServerLeaving, slog.String("server", l.ID), slog.String("change", string(l.Kind)),
-			slog.Bool("told", told), slog.Duration("age", age))
+// logServerChanges logs changes of servers. Age is the age of the rows that caused
+// them, or 0 for the end of a grace period.
+func (w *Watcher) logServerChanges(changes []backend.Change, relayed bool, age time.Duration) {
+	for _, c := range changes {
+		w.log.Write(event.ServerLeaving, slog.String("server", c.ID), slog.String("change", string(c.Kind)),
+			slog.Bool("told", relayed), slog.Duration("age", age))
 	}
 }
 
-// takeConfig brings the newest of the configurations that were read into
-// force: an answer may hold one for each change that was missed.
-func (w *Watcher) takeConfig(r read) bool {
+// applyConfig puts the newest of the configurations that were read into force. An
+// answer may contain one for each missed change.
+func (w *Watcher) applyConfig(r read) bool {
 	changed := false
 	for _, row := range r.batch.Rows {
 		if row.Key != w.tables.ConfigKey || row.Gone || row.Revision <= w.configRevision {
@@ -109,7 +112,7 @@
 		}
 		c, err := w.decode.Config(row.Value)
 		if err != nil {
-			if w.strange(row) {
+			if w.recordUnusable(row) {
 				w.log.Write(event.ConfigBad, slog.Int64("revision", row.Revision), slog.String("error", err.Error()))
 			}
 			continue
@@ -124,53 +127,53 @@
 	return changed
 }
 
-func (w *Watcher) takeServers(r read) bool {
+func (w *Watcher) applyServers(r read) bool {
 	now := w.Now()
 	changed := false
 	present := map[string]bool{}
 	for _, row := range r.batch.Rows {
 		if row.Gone {
-			changed = w.book.Remove(row.Key, row.Revision, now) || changed
+			changed = w.servers.Remove(row.Key, row.Revision, now) || changed
 			continue
 		}
 		present[row.Key] = true
 		s, err := w.decode.Server(row.Key, row.Value)
 		if err != nil {
-			if w.strange(row) {
+			if w.recordUnusable(row) {
 				w.log.Write(event.ConfigBad, slog.String("server", row.Key), slog.String("error", err.Error()))
 			}
-			changed = w.book.MarkUnreadable(row.Key, row.Revision) || changed
+			changed = w.servers.MarkUnreadable(row.Key, row.Revision) || changed
 			continue
 		}
-		changed = w.book.Put(s, row.Revision) || changed
+		changed = w.servers.Put(s, row.Revision) || changed
 	}
-	if r.whole {
-		changed = w.book.RemoveMissing(present, r.batch.Revision, now) || changed
+	if r.complete {
+		changed = w.servers.RemoveMissing(present, r.batch.Revision, now) || changed
 	}
 	return changed
 }
 
-// strange notes a row that can't be used, and reports whether this version of it
-// is new: a list holds it each time.
-func (w *Watcher) strange(row feed.Row) bool {
+// recordUnusable records a row that can't be parsed, and reports whether this revision
+// of it is new. Each complete list contains the row again.
+func (w *Watcher) recordUnusable(row feed.Row) bool {
 	if w.unusable[row.Key] >= row.Revision {
 		return false
 	}
-	if len(w.unusable) >= mostUnusable {
-		clear(w.unusable) // some are logged once more
+	if len(w.unusable) >= maxUnusable {
+		clear(w.unusable) // some rows are logged once more
 	}
 	w.unusable[row.Key] = row.Revision
 	w.metrics.Count("rows_unusable", 1)
 	return true
 }
 
-// mostUnusable bounds the unusable rows that are remembered as logged.
-const mostUnusable = 1024
+// maxUnusable is the maximum number of unusable rows that are recorded as logged.
+const maxUnusable = 1024
 
-func (w *Watcher) takeSuspect(row feed.Row) {
+func (w *Watcher) applySuspect(row feed.Row) {
 	var s Suspect
 	if err := json.Unmarshal(row.Value, &s); err != nil {
-		if w.strange(row) {
+		if w.recordUnusable(row) {
 			w.log.Write(event.ConfigBad, slog.String("suspect", row.Key), slog.String("error", err.Error()))
 		}
 		return
@@ -178,8 +181,8 @@
 	w.suspects[row.Key] = s
 }
 
-func (w *Watcher) takeHosts(r read) bool {
-	if r.whole {
+func (w *Watcher) applyHosts(r read) bool {
+	if r.complete {
 		clear(w.hosts)
 		clear(w.suspects)
 	}
@@ -190,17 +193,17 @@
 			continue
 		}
 		if isSuspect(row.Key) {
-			w.takeSuspect(row)
+			w.applySuspect(row)
 			continue
 		}
 		h := Host{Name: row.Key}
 		if err := json.Unmarshal(row.Value, &h); err != nil {
-			if w.strange(row) {
+			if w.recordUnusable(row) {
 				w.log.Write(event.ConfigBad, slog.String("host", row.Key), slog.String("error", err.Error()))
 			}
 			continue
 		}
 		w.hosts[row.Key] = h
 	}
-	return r.whole || len(r.batch.Rows) > 0
+	return r.complete || len(r.batch.Rows) > 0
 }
--- a/daemon/watch/watch.go
+++ b/daemon/watch/watch.go
@@ -1,10 +1,12 @@
-// Package watch follows the platform's tables and keeps the state that
-// traffic decides by.
+// Package watch follows the platform's tables and maintains the state by which
+// requests are served.
 //
-// One goroutine owns the state. Others follow a table each and hand it what
-// they read; after each change it publishes a new immutable [State]. What was
-// read is stamped with the platform's steady clock, so that at any moment it
-// is known how long ago the configuration was proven to be the newest.
+// One goroutine owns the state. Other goroutines follow one table each and deliver
+// what they read to the owner, which publishes a new immutable [State] after each
+// change. Everything read carries a reading of the platform's monotonic clock, so
+// that the time since the configuration was last proven to be the newest is always
+// known. Hosts relay to each other what they have read ([Update]), so that only a
+// few of them have to poll the platform.
 //
 // # Usage
 //
@@ -28,67 +30,70 @@
 	"slipcrank.example/daemon/telemetry"
 )
 
-// Which tables the platform is asked for.
+// Scopes of polling.
 const (
-	// PollNothing leaves it to other hosts to tell.
+	// PollNothing polls no tables. All of them are received from other hosts.
 	PollNothing PollScope = iota
-	// PollHosts asks only who the other hosts are.
+	// PollHosts polls only the table of hosts.
 	PollHosts
-	// PollConfig asks only for the configuration, and seldom.
+	// PollConfig polls only the configuration, and rarely.
 	PollConfig
-	// PollAll asks for all tables.
+	// PollAll polls all tables.
 	PollAll
 )
 
-// longestPause is the longest pause between questions that fail, where nothing
-// else is set: what a host alone may be late by after an outage.
-const longestPause = 600 * time.Millisecond
+// defaultMaxBackoff is the maximum backoff between failed polls until
+// [Watcher.SetPolling] sets another. A host without other hosts may detect the end
+// of an outage this much late.
+const defaultMaxBackoff = 600 * time.Millisecond
 
 const (
-	// hostsWait is how long a question for changes of the hosts waits: they tell
-	// each other that they live.
-	hostsWait = 5 * time.Second
-	// answerTime is added to a wait for the way there and back, and for a
-	// platform that is slow.
-	answerTime = 1500 * time.Millisecond
-	// gather lies between an answer with changes and the next question, so
-	// that changes which come together cost one call. It is a small part of
-	// the two seconds within which they have to be in force.
-	gather = 200 * time.Millisecond
-	// firstGather is the same in the time startTime after a start, in which
-	// servers come one after the other and each host asks for itself, since
-	// it doesn't know the others yet.
-	firstGather = time.Second
-	startTime   = 5 * time.Second
-	// gatherPerHost is for each other host that is known in that time, up to firstGather: all
-	// hosts ask for a table at most 100 times a second. Until they know each other they tell
-	// each other nothing, and while one gathers, its list grows old.
-	gatherPerHost = 10 * time.Millisecond
-	// firstPause lies between questions that fail, and doubles with each up
-	// to the longest that is set.
-	firstPause = 100 * time.Millisecond
-	// outageTime is how long nobody may have had a proof of the configuration,
-	// beyond the time that lies between two proofs, before the platform counts
-	// as having been away: under two heartbeats of the servers, whose entries
-	// lapse after three.
-	outageTime = time.Second
+	// hostsPollWait is how long a poll for changes of the hosts waits for one. It may
+	// be long, since hosts send each other signs of life.
+	hostsPollWait = 5 * time.Second
+	// answerTimeout is added to the wait of a poll, for the round trip and for a slow
+	// platform.
+	answerTimeout = 1500 * time.Millisecond
+	// batchDelay is the delay between an answer with changes and the next poll, so
+	// that simultaneous changes cost one call. It is a small part of the two seconds
+	// within which changes have to be in force.
+	batchDelay = 200 * time.Millisecond
+	// startBatchDelay is the same delay within startPeriod after a start. During that
+	// time servers start one after the other, and each host polls for itself, since it
+	// doesn't know the other hosts yet.
+	startBatchDelay = time.Second
+	startPeriod     = 5 * time.Second
+	// startBatchDelayPerHost is the delay within startPeriod for each other known
+	// host, up to startBatchDelay, so that all hosts together poll a table at most 100
+	// times per second. The delay must not be longer than that: hosts relay nothing
+	// until they know each other, and the host's own list ages during the delay.
+	startBatchDelayPerHost = 10 * time.Millisecond
+	// minBackoff is the backoff after the first failed poll. It doubles with each
+	// further one, up to the maximum that is set.
+	minBackoff = 100 * time.Millisecond
+	// minOutage is how long this host has to be without a proof of the configuration,
+	// beyond the interval between two proofs, before it may conclude that the platform
+	// was away. It is less than two heartbeats of the servers, whose entries lapse
+	// after three.
+	minOutage = time.Second
 )
 
 type (
-	// PollScope is what the platform is asked.
+	// PollScope determines which tables the platform is polled for.
 	PollScope int32
 
 	// Tables names the platform's tables.
 	Tables struct {
 		Config, ConfigKey, Servers, Hosts string
-		// PollWait is how long a question for changes of the configuration or of
-		// the servers waits. Each answer proves anew that what is known is complete,
-		// and each question costs money. A connection that has fallen silent is found
-		// out when an answer is overdue: until then a server that leaves gets work.
+		// PollWait is how long a poll for changes of the configuration or of the
+		// servers waits for one. Each answer proves again that the known rows are
+		// complete, and each poll costs money. A silent connection is detected only
+		// when an answer is overdue; until then a server that is leaving still gets
+		// work.
 		PollWait time.Duration
 	}
 
-	// Decoders read rows.
+	// Decoders parse rows.
 	Decoders struct {
 		Config func(value []byte) (*site.Config, error)
 		Server func(key string, value []byte) (backend.Server, error)
@@ -97,175 +102,184 @@
 	// Host is another host of the site.
 	Host struct {
 		Name string `json:"-"`
-		// Addr is an IP number and a port, for news and what is relayed.
+		// Addr is an IP address and a port, for news and relayed updates.
 		Addr string `json:"addr"`
 		Hall string `json:"hall"`
-		// Link is the bandwidth of its link in Mbit/s, 0 if it isn't known.
+		// Link is the bandwidth of its network link in Mbit/s, 0 if unknown.
 		Link float64 `json:"link,omitempty"`
-		// Number tells its starts apart.
+		// Number distinguishes the starts of the host.
 		Number uint32 `json:"number"`
 	}
 
-	// State is what traffic decides by.
+	// State is a snapshot of the state by which requests are served.
 	State struct {
 		Config  *site.Config
 		Servers *backend.View
 		Hosts   []Host
-		// Suspects are requests under which servers ended, as hosts stored them.
+		// Suspects are requests that were running on servers when these crashed, as
+		// stored by hosts.
 		Suspects []Suspect
 	}
 
 	// Watcher follows the tables.
 	Watcher struct {
-		source  feed.Source
-		tables  Tables
-		decode  Decoders
-		log     *decision.Log
-		metrics *telemetry.Metrics
-		steady  *boottime.Clock
-		clock   *freshness.Clock
-		state   atomic.Pointer[State]
-		proven  atomic.Int64 // stamp of the newest proof of the configuration, -1 for none
-		told    atomic.Int64 // the same of the newest that other hosts told first
-		listed  atomic.Int64 // stamp at which the list of servers was complete, -1 for never
-		reads   chan read
-		digests atomic.Pointer[map[string]uint64] // of the rows that are known
-		onHosts func([]Host)
-		asking  atomic.Int32
-		turned  atomic.Pointer[chan struct{}] // closed when asking changes
-		longest atomic.Int64                  // pause between questions that fail
-		// answering is set while the platform answers questions for the
-		// configuration; those for other tables wait for it.
-		answering atomic.Bool
-		tell      chan listener
-		leave     chan chan Update
+		source        feed.Source
+		tables        Tables
+		decode        Decoders
+		log           *decision.Log
+		metrics       *telemetry.Metrics
+		localClock    *boottime.Clock
+		platformClock *freshness.Clock
+		state         atomic.Pointer[State]
+		configProof   atomic.Int64 // stamp of the newest proof of the configuration, -1 for none
+		relayedProof  atomic.Int64 // stamp of the newest such proof that another host sent first, -1 for none
+		serversProof  atomic.Int64 // stamp at which the list of servers was last complete, -1 for never
+		reads         chan read
+		digests       atomic.Pointer[map[string]uint64] // of the known rows, by table
+		onHosts       func([]Host)
+		scope         atomic.Int32
+		scopeChanged  atomic.Pointer[chan struct{}] // closed when scope changes
+		maxBackoff    atomic.Int64                  // between failed polls
+		// answering is set while the platform answers polls for the configuration.
+		// Polls for other tables are deferred until it does.
+		answering   atomic.Bool
+		subscribe   chan subscriber
+		unsubscribe chan chan Update
 
 		// Owned by Run's goroutine.
-		book   *backend.Registry
-		config *site.Config
-		// configRevision is the platform's of the configuration in force.
+		servers *backend.Registry
+		config  *site.Config
+		// configRevision is the platform's revision of the configuration in force.
 		configRevision int64
 		hosts          map[string]Host
 		suspects       map[string]Suspect
-		unusable       map[string]int64 // revisions of rows that can't be used, as logged
-		lost           map[string]bool
-		answered       time.Duration // newest stamp of an answer about the configuration
-		missed         span          // the last one without an answer about the configuration
-		returned       time.Duration // stamp at which the platform was back last
+		unusable       map[string]int64 // logged revisions of unusable rows, by key
+		lost           map[string]bool  // tables whose last poll failed
+		lastConfig     time.Duration    // newest stamp of an answer about the configuration
+		gap            interval         // the last one without an answer about the configuration
+		returned       time.Duration    // stamp at which the platform last returned
 		rows           map[string]*table
-		heard          map[chan Update]bool
+		subscribers    map[chan Update]bool
 	}
 
-	// span lies between two stamps.
-	span struct{ from, to time.Duration }
+	// interval is the time between two stamps.
+	interval struct{ from, to time.Duration }
 
-	// read is what a follower has learnt, or that it can't.
+	// read is the result of a poll, or an update from another host.
 	read struct {
-		table string
-		batch feed.Batch
-		whole bool
-		err   error
-		after time.Duration // how long questions had failed before
-		told  bool          // by another host
-		// returned is the stamp at which that host knows the platform was back.
+		table    string
+		batch    feed.Batch
+		complete bool // batch holds all rows of the table
+		err      error
+		failing  time.Duration // how long polls had failed before
+		relayed  bool          // received from another host
+		// returned is the stamp at which the platform last returned, according to that
+		// host.
 		returned time.Duration
 	}
 )
 
-// New returns a watcher.
+// New returns a watcher. It calls onHosts with the other hosts after each change of
+// the state.
 func New(s feed.Source, t Tables, d Decoders, l *decision.Log, m *telemetry.Metrics, onHosts func([]Host)) *Watcher {
 	w := &Watcher{
 		source: s, tables: t, decode: d, log: l, metrics: m, onHosts: onHosts,
-		steady: boottime.New(),
-		clock:  freshness.NewClock(),
-		reads:  make(chan read),
-		book:   backend.NewRegistry(),
-		hosts:  map[string]Host{}, suspects: map[string]Suspect{},
-		unusable: map[string]int64{},
-		lost:     map[string]bool{},
-		tell:     make(chan listener),
-		leave:    make(chan chan Update),
-		rows:     map[string]*table{},
-		heard:    map[chan Update]bool{},
+		localClock:    boottime.New(),
+		platformClock: freshness.NewClock(),
+		reads:         make(chan read),
+		servers:       backend.NewRegistry(),
+		hosts:         map[string]Host{}, suspects: map[string]Suspect{},
+		unusable:    map[string]int64{},
+		lost:        map[string]bool{},
+		subscribe:   make(chan subscriber),
+		unsubscribe: make(chan chan Update),
+		rows:        map[string]*table{},
+		subscribers: map[chan Update]bool{},
 	}
-	turned := make(chan struct{})
-	w.turned.Store(&turned)
-	w.SetPolling(PollAll, longestPause)
+	changed := make(chan struct{})
+	w.scopeChanged.Store(&changed)
+	w.SetPolling(PollAll, defaultMaxBackoff)
 	w.answering.Store(true)
 	w.digests.Store(&map[string]uint64{})
-	w.proven.Store(-1)
-	w.told.Store(-1)
-	w.listed.Store(-1)
-	w.state.Store(&State{Servers: w.book.View(0)})
+	w.configProof.Store(-1)
+	w.relayedProof.Store(-1)
+	w.serversProof.Store(-1)
+	w.state.Store(&State{Servers: w.servers.View(0)})
 	return w
 }
 
-// State returns the newest state.
+// State returns the current state.
 func (w *Watcher) State() *State { return w.state.Load() }
 
-// ConfigAge returns how long ago, at most, the configuration in force was
+// ConfigAge returns an upper bound on the time since the configuration in force was
 // proven to be the newest. It reports false before the first proof.
-func (w *Watcher) ConfigAge() (time.Duration, bool) { return w.age(w.proven.Load()) }
+func (w *Watcher) ConfigAge() (time.Duration, bool) { return w.stampAge(w.configProof.Load()) }
 
-// RelayedAge is the age of the newest proof that came from another host before
-// this one had it from the platform: how old the configuration would be if
-// this host didn't ask.
-func (w *Watcher) RelayedAge() (time.Duration, bool) { return w.age(w.told.Load()) }
+// RelayedAge returns the age of the newest proof of the configuration that another
+// host sent before this host had it from the platform. It is the age that the
+// configuration would have if this host didn't poll.
+func (w *Watcher) RelayedAge() (time.Duration, bool) { return w.stampAge(w.relayedProof.Load()) }
 
-// ServersAge returns how long ago, at most, the list of servers was complete. It
-// reports false before the first one.
-func (w *Watcher) ServersAge() (time.Duration, bool) { return w.age(w.listed.Load()) }
+// ServersAge returns an upper bound on the time since the list of servers was
+// complete. It reports false before the first list.
+func (w *Watcher) ServersAge() (time.Duration, bool) { return w.stampAge(w.serversProof.Load()) }
 
-// Age returns how old a reading of the platform's steady clock is, at most. It
-// reports false if that clock isn't known yet.
-func (w *Watcher) Age(stamp time.Duration) (time.Duration, bool) { return w.clock.Age(stamp, w.Now()) }
+// Age returns an upper bound on the age of a reading of the platform's monotonic
+// clock. It reports false if that clock isn't known yet.
+func (w *Watcher) Age(stamp time.Duration) (time.Duration, bool) {
+	return w.platformClock.Age(stamp, w.Now())
+}
 
-// PlatformClock returns what the platform's steady clock shows, at the latest. It
-// reports false if that isn't known yet.
-func (w *Watcher) PlatformClock() (time.Duration, bool) { return w.clock.Age(0, w.Now()) }
+// PlatformClock returns an upper bound on the current reading of the platform's
+// monotonic clock. It reports false if that clock isn't known yet.
+func (w *Watcher) PlatformClock() (time.Duration, bool) { return w.platformClock.Age(0, w.Now()) }
 
-func (w *Watcher) age(stamp int64) (time.Duration, bool) {
+// stampAge returns an upper bound on the age of a stamp, and false if the stamp is
+// negative or the platform's clock isn't known yet.
+func (w *Watcher) stampAge(stamp int64) (time.Duration, bool) {
 	if stamp < 0 {
 		return 0, false
 	}
-	return w.clock.Age(time.Duration(stamp), w.Now())
+	return w.platformClock.Age(time.Duration(stamp), w.Now())
 }
 
 // Run follows the tables until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	go w.follow(ctx, w.tables.Config, w.tables.PollWait)
 	go w.follow(ctx, w.tables.Servers, w.tables.PollWait)
-	go w.follow(ctx, w.tables.Hosts, hostsWait)
-	tick := time.NewTicker(lapseTick)
+	go w.follow(ctx, w.tables.Hosts, hostsPollWait)
+	tick := time.NewTicker(graceCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case r := <-w.reads:
-			w.take(r)
-		case c := <-w.tell:
-			w.welcome(c)
-		case c := <-w.leave:
-			w.dismiss(c)
+			w.apply(r)
+		case s := <-w.subscribe:
+			w.addSubscriber(s)
+		case c := <-w.unsubscribe:
+			w.removeSubscriber(c)
 		case <-tick.C:
-			if w.book.HasRetained() {
+			if w.servers.HasRetained() {
 				w.publish()
 			}
 		}
 	}
 }
 
-// lapseTick is how often kept servers are looked at whose entries lapsed.
-const lapseTick = 250 * time.Millisecond
+// graceCheckInterval is the interval of checks whether the grace period of retained
+// servers is over.
+const graceCheckInterval = 250 * time.Millisecond
 
-// SetClock sets the watcher's steady clock, before Run.
-func (w *Watcher) SetClock(c *boottime.Clock) { w.steady = c }
+// SetClock sets the watcher's local clock. It must be called before Run.
+func (w *Watcher) SetClock(c *boottime.Clock) { w.localClock = c }
 
-// Now is the time on the watcher's steady clock.
-func (w *Watcher) Now() time.Duration { return w.steady.Now() }
+// Now returns the time on the watcher's local clock.
+func (w *Watcher) Now() time.Duration { return w.localClock.Now() }
 
-func (w *Watcher) hand(ctx context.Context, r read) bool {
+// deliver passes r to Run's goroutine. It reports false if ctx ends first.
+func (w *Watcher) deliver(ctx context.Context, r read) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -275,7 +289,7 @@
 }
 
 func (w *Watcher) publish() {
-	s := &State{Config: w.config, Servers: w.book.View(w.Now())}
+	s := &State{Config: w.config, Servers: w.servers.View(w.Now())}
 	for _, h := range w.hosts {
 		s.Hosts = append(s.Hosts, h)
 	}
@@ -284,5 +298,5 @@
 	}
 	w.state.Store(s)
 	w.onHosts(s.Hosts)
-	w.logLeaving(w.book.TakeChanges(), false, 0)
+	w.logServerChanges(w.servers.TakeChanges(), false, 0)
 }
--- a/daemon/watch/watch_test.go
+++ b/daemon/watch/watch_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"encoding/json"
 	"io"
-	"slipcrank.example/core/boottime"
-	"slipcrank.example/core/freshness"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -16,7 +14,9 @@
 	"github.com/cockroachdb/errors"
 
 	"slipcrank.example/core/backend"
+	"slipcrank.example/core/boottime"
 	"slipcrank.example/core/feed"
+	"slipcrank.example/core/freshness"
 	"slipcrank.example/core/pause"
 	"slipcrank.example/core/site"
 	"slipcrank.example/daemon/decision"
@@ -29,22 +29,22 @@
 	serversTable = "servers"
 )
 
-// fakeStore answers questions from rows that a test changes. It is used inside
-// a synctest bubble, whose goroutines it may block.
+// fakeStore is a platform whose rows are changed by the test. It is used inside a
+// synctest bubble, whose goroutines it may block.
 type fakeStore struct {
-	mu      sync.Mutex
-	start   time.Time
-	rows    map[string][]feed.Row
-	changed chan struct{}
-	rev     int64
-	down    bool
-	forgets bool // all history, at once
-	slow    time.Duration
-	lists   int
-	calls   int
+	mu          sync.Mutex
+	start       time.Time
+	rows        map[string][]feed.Row
+	changed     chan struct{}
+	rev         int64
+	down        bool
+	historyGone bool // polls for changes fail with [feed.ErrHistoryGone]
+	listTime    time.Duration
+	lists       int
+	calls       int
 }
 
-var errDown = errors.New("the platform is down")
+var errDown = errors.New("platform is down")
 
 func newStore() *fakeStore {
 	return &fakeStore{start: time.Now(), rows: map[string][]feed.Row{}, changed: make(chan struct{})}
@@ -55,7 +55,7 @@
 	defer f.mu.Unlock()
 	f.rev++
 	f.rows[table] = append(f.rows[table], feed.Row{Key: key, Value: []byte(value), Revision: f.rev})
-	f.tell()
+	f.notify()
 }
 
 func (f *fakeStore) remove(table, key string) {
@@ -63,10 +63,10 @@
 	defer f.mu.Unlock()
 	f.rev++
 	f.rows[table] = append(f.rows[table], feed.Row{Key: key, Revision: f.rev, Gone: true})
-	f.tell()
+	f.notify()
 }
 
-func (f *fakeStore) tell() {
+func (f *fakeStore) notify() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -75,7 +75,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down = down
-	f.tell()
+	f.notify()
 }
 
 func (f *fakeStore) batch(table string, after int64) feed.Batch {
@@ -90,9 +90,9 @@
 
 func (f *fakeStore) list(ctx context.Context, table string) (feed.Batch, error) {
 	f.mu.Lock()
-	slow := f.slow
+	listTime := f.listTime
 	f.mu.Unlock()
-	if err := pause.For(ctx, slow); err != nil {
+	if err := pause.For(ctx, listTime); err != nil {
 		return feed.Batch{}, err
 	}
 	f.mu.Lock()
@@ -118,7 +118,7 @@
 func (f *fakeStore) follow(ctx context.Context, table string, after int64, wait time.Duration) (feed.Batch, error) {
 	end := time.After(wait)
 	for {
-		b, changed, err := f.look(table, after)
+		b, changed, err := f.poll(table, after)
 		if err != nil || len(b.Rows) > 0 {
 			return b, err
 		}
@@ -126,29 +126,30 @@
 		case <-ctx.Done():
 			return feed.Batch{}, ctx.Err()
 		case <-end:
-			b, _, err := f.look(table, after)
+			b, _, err := f.poll(table, after)
 			return b, err
 		case <-changed:
 		}
 	}
 }
 
-// look returns what has changed, and a channel that tells of the next change.
-func (f *fakeStore) look(table string, after int64) (feed.Batch, <-chan struct{}, error) {
+// poll returns the rows that changed after a revision, and a channel that is closed at
+// the next change.
+func (f *fakeStore) poll(table string, after int64) (feed.Batch, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
 	if f.down {
 		return feed.Batch{}, nil, errDown
 	}
-	if f.forgets {
+	if f.historyGone {
 		return feed.Batch{}, nil, feed.ErrHistoryGone
 	}
 	return f.batch(table, after), f.changed, nil
 }
 
-// run gives a running watcher to f in a bubble with its own time.
-func run(t *testing.T, f func(s *fakeStore, w *watch.Watcher)) {
+// runWatcher calls f with a running watcher in a synctest bubble.
+func runWatcher(t *testing.T, f func(s *fakeStore, w *watch.Watcher)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -176,17 +177,18 @@
 	})
 }
 
-// settle lets a watcher take in changes: it gathers those that come together.
-func settle() { pass(1100 * time.Millisecond) }
+// settle waits until the watcher has applied changes, which includes its delay between
+// polls.
+func settle() { sleep(1100 * time.Millisecond) }
 
-// pass lets some of the bubble's time go by.
-func pass(d time.Duration) {
+// sleep advances the time of the bubble.
+func sleep(d time.Duration) {
 	_ = pause.For(context.Background(), d) // never ends early
 	synctest.Wait()
 }
 
 func TestNewestOfSeveralMissedConfigurationsIsInForce(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
 		s.put(configTable, "config", "1")
 		settle()
 		s.setDown(true)
@@ -195,15 +197,15 @@
 			s.put(configTable, "config", v)
 		}
 		s.setDown(false)
-		pass(2 * time.Second)
+		sleep(2 * time.Second)
 		if got := w.State().Config.Version(); got != 5 {
 			t.Errorf("version %d is in force, want 5", got)
 		}
 	})
 }
 
-func TestOlderConfigurationNeverReturns(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
 		s.put(configTable, "config", "7")
 		settle()
 		s.put(configTable, "config", "6")
@@ -214,26 +216,26 @@
 	})
 }
 
-func TestServersLeave(t *testing.T) {
+func TestServersThatLeaveOrLapse(t *testing.T) {
 	const ready, draining = `{"Service":"s"}`, `{"Service":"s","Draining":true}`
 	for name, tc := range map[string]struct {
-		do   func(s *fakeStore)
-		wait time.Duration
-		want int // ready servers of two
+		change func(s *fakeStore)
+		wait   time.Duration
+		want   int // ready servers of two
 	}{
-		"one says that it drains":             {func(s *fakeStore) { s.put(serversTable, "a", draining) }, 1100 * time.Millisecond, 1},
-		"one is gone":                         {func(s *fakeStore) { s.remove(serversTable, "a") }, 1100 * time.Millisecond, 1},
-		"both lapse in an outage":             {outage("a", "b"), time.Second, 2},
-		"and don't return":                    {outage("a", "b"), 4 * time.Second, 0},
-		"one drains and goes while it's away": {func(s *fakeStore) { s.put(serversTable, "a", draining); settle(); outage("a")(s) }, time.Second, 1},
+		"one drains":                                 {func(s *fakeStore) { s.put(serversTable, "a", draining) }, 1100 * time.Millisecond, 1},
+		"one is removed":                             {func(s *fakeStore) { s.remove(serversTable, "a") }, 1100 * time.Millisecond, 1},
+		"both lapse during an outage":                {outage("a", "b"), time.Second, 2},
+		"both lapse and don't return":                {outage("a", "b"), 4 * time.Second, 0},
+		"one drains and is removed during an outage": {func(s *fakeStore) { s.put(serversTable, "a", draining); settle(); outage("a")(s) }, time.Second, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(s *fakeStore, w *watch.Watcher) {
+			runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
 				s.put(serversTable, "a", ready)
 				s.put(serversTable, "b", ready)
 				settle()
-				tc.do(s)
-				pass(tc.wait)
+				tc.change(s)
+				sleep(tc.wait)
 				if got := len(w.State().Servers.Ready("s")); got != tc.want {
 					t.Errorf("%d servers are ready, want %d", got, tc.want)
 				}
@@ -242,27 +244,28 @@
 	}
 }
 
-// TestServerThatGoesWhileOthersAreServed has the platform turn this host away,
-// while another host tells it proofs, and a server go right after.
-func TestServerThatGoesWhileOthersAreServed(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
+// TestRemovalWhileOnlyThisHostIsRefused: the platform refuses this host, which receives
+// proofs from another host meanwhile. A server that is removed right after isn't
+// retained, since this was no outage.
+func TestRemovalWhileOnlyThisHostIsRefused(t *testing.T) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
 		s.put(serversTable, "a", `{"Service":"s"}`)
 		s.put(configTable, "config", "1")
 		settle()
 		s.setDown(true)
 		for range 8 {
-			pass(500 * time.Millisecond)
-			asked := w.Now()
+			sleep(500 * time.Millisecond)
+			sent := w.Now()
 			w.Receive(context.Background(), watch.Update{
 				Table: configTable, Revision: s.revision(), Stamp: time.Since(s.start) + time.Hour, Clock: time.Since(s.start) + time.Hour,
-			}, asked)
+			}, sent)
 		}
 		s.setDown(false)
 		settle()
 		s.remove(serversTable, "a")
 		settle()
 		if n := len(w.State().Servers.Ready("s")); n > 0 {
-			t.Error("a server whose entry has gone is kept as if the platform had been away")
+			t.Error("a server whose entry is gone is retained as after an outage of the platform")
 		}
 	})
 }
@@ -273,11 +276,12 @@
 	return f.rev
 }
 
-// outage has the platform down for four seconds, in which entries go.
+// outage returns a change that takes the platform down for four seconds. At its return
+// the entries of the given servers are gone.
 func outage(ids ...string) func(s *fakeStore) {
 	return func(s *fakeStore) {
 		s.setDown(true)
-		pass(4 * time.Second)
+		sleep(4 * time.Second)
 		for _, id := range ids {
 			s.remove(serversTable, id)
 		}
@@ -286,141 +290,144 @@
 }
 
 func TestConfigAge(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
 		if _, ok := w.ConfigAge(); ok {
-			t.Error("there is an age before the first proof")
+			t.Error("got an age before the first proof")
 		}
 		s.put(configTable, "config", "1")
-		pass(10 * time.Second)
+		sleep(10 * time.Second)
 		if age, ok := w.ConfigAge(); !ok || age > 2*time.Second {
-			t.Errorf("age %v, %v, want at most 2s while the platform answers", age, ok)
+			t.Errorf("age %v, %v, want at most 2 s while the platform answers", age, ok)
 		}
 		s.setDown(true)
-		pass(10 * time.Second)
+		sleep(10 * time.Second)
 		if age, ok := w.ConfigAge(); !ok || age < 10*time.Second {
-			t.Errorf("age %v, %v, want at least 10s after 10s without the platform", age, ok)
+			t.Errorf("age %v, %v, want at least 10 s after an outage of 10 s", age, ok)
 		}
 	})
 }
 
-func TestPlatformThatForgetsAtOnceIsNotPressed(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
+// TestRepeatedListsBackOff: the platform discards its history at once, so that each
+// poll for changes requires a new list.
+func TestRepeatedListsBackOff(t *testing.T) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
 		s.put(configTable, "config", "1")
-		s.set(func() { s.forgets = true })
-		pass(10 * time.Second)
+		s.set(func() { s.historyGone = true })
+		sleep(10 * time.Second)
 		if w.State().Config == nil {
-			t.Error("the configuration that was listed is not in force")
+			t.Error("the listed configuration is not in force")
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if most := 3 * 100; s.lists > most { // ten a second and table
-			t.Errorf("%d lists in 10 s of three tables, want at most %d", s.lists, most)
+		if limit := 3 * 100; s.lists > limit { // ten per second and table
+			t.Errorf("%d lists of three tables in 10 s, want at most %d", s.lists, limit)
 		}
 	})
 }
 
-// TestOutageCostsFewCalls has a host ask a platform that is away, and then see
-// that it is back.
-func TestOutageCostsFewCalls(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
-		const longest = 2 * time.Second
-		w.SetPolling(watch.PollAll, longest)
+// TestFewCallsDuringOutage: a host polls a platform that is down, and then detects its
+// return.
+func TestFewCallsDuringOutage(t *testing.T) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
+		const maxBackoff = 2 * time.Second
+		w.SetPolling(watch.PollAll, maxBackoff)
 		s.put(configTable, "config", "1")
 		settle()
 		s.setDown(true)
 		settle()
-		before := s.count()
-		pass(20 * time.Second)
-		if n := s.count() - before; n < 5 || n > 40 {
-			t.Errorf("%d calls in an outage of 20 s, want one each second or so", n)
+		before := s.callCount()
+		sleep(20 * time.Second)
+		if n := s.callCount() - before; n < 5 || n > 40 {
+			t.Errorf("%d calls during an outage of 20 s, want 5 to 40", n)
 		}
 		s.put(configTable, "config", "2")
 		s.setDown(false)
-		pass(longest)
+		sleep(maxBackoff)
 		if got := w.State().Config.Version(); got != 2 {
 			t.Errorf("version %d is in force, want 2", got)
 		}
 	})
 }
 
-// TestThoseThatAskSeldomCostFewCalls has a host begin to ask only while the
-// platform is away, as most hosts of a large hall do.
-func TestThoseThatAskSeldomCostFewCalls(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
-		const longest = 12 * time.Second
-		w.SetPolling(watch.PollNothing, longest)
+// TestFewCallsWithPollConfigDuringOutage: a host begins to poll only during an outage of
+// the platform, as most hosts of a large hall do.
+func TestFewCallsWithPollConfigDuringOutage(t *testing.T) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
+		const maxBackoff = 12 * time.Second
+		w.SetPolling(watch.PollNothing, maxBackoff)
 		settle()
 		s.setDown(true)
-		before := s.count()
-		w.SetPolling(watch.PollConfig, longest)
-		pass(8 * time.Second)
-		if n := s.count() - before; n < 2 || n > 6 {
-			t.Errorf("%d calls in an outage of 8 s, want a few", n)
+		before := s.callCount()
+		w.SetPolling(watch.PollConfig, maxBackoff)
+		sleep(8 * time.Second)
+		if n := s.callCount() - before; n < 2 || n > 6 {
+			t.Errorf("%d calls during an outage of 8 s, want 2 to 6", n)
 		}
 		s.put(configTable, "config", "1")
 		s.put(serversTable, "a", `{"Service":"s"}`)
 		s.setDown(false)
-		pass(longest)
+		sleep(maxBackoff)
 		if w.State().Config == nil || w.State().Servers.Len() != 0 {
-			t.Errorf("the configuration is known: %v; %d servers are, want none", w.State().Config != nil, w.State().Servers.Len())
+			t.Errorf("configuration known: %v, want true; %d servers known, want none", w.State().Config != nil, w.State().Servers.Len())
 		}
 	})
 }
 
-// TestLongListIsWaitedFor lists a table of many pages over a slow link.
-func TestLongListIsWaitedFor(t *testing.T) {
-	run(t, func(s *fakeStore, w *watch.Watcher) {
-		s.set(func() { s.slow = 6 * time.Second })
+// TestSlowListHasNoTimeout lists a table of many pages over a slow link.
+func TestSlowListHasNoTimeout(t *testing.T) {
+	runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
+		s.set(func() { s.listTime = 6 * time.Second })
 		s.put(configTable, "config", "1")
-		pass(8 * time.Second)
+		sleep(8 * time.Second)
 		if w.State().Config == nil {
-			t.Error("a list that takes 6 s is never taken in")
+			t.Error("a list that takes 6 s is not applied")
 		}
 	})
 }
 
-func TestWhatIsAsked(t *testing.T) {
+func TestPollScope(t *testing.T) {
 	for name, tc := range map[string]struct {
-		asking        watch.PollScope
+		scope         watch.PollScope
 		config, hosts bool
 	}{
-		"nothing":                {watch.PollNothing, false, false},
-		"hosts only":             {watch.PollHosts, false, true},
-		"the configuration only": {watch.PollConfig, true, false},
-		"all":                    {watch.PollAll, true, true},
+		"nothing":            {watch.PollNothing, false, false},
+		"hosts only":         {watch.PollHosts, false, true},
+		"configuration only": {watch.PollConfig, true, false},
+		"all":                {watch.PollAll, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(s *fakeStore, w *watch.Watcher) {
-				w.SetPolling(tc.asking, time.Second)
+			runWatcher(t, func(s *fakeStore, w *watch.Watcher) {
+				w.SetPolling(tc.scope, time.Second)
 				s.put(configTable, "config", "1")
 				s.put("hosts", "other", `{"addr":"127.0.0.1:1"}`)
-				pass(3 * time.Second)
+				sleep(3 * time.Second)
 				if got := w.State().Config != nil; got != tc.config {
-					t.Errorf("the configuration is known: %v, want %v", got, tc.config)
+					t.Errorf("configuration known: %v, want %v", got, tc.config)
 				}
 				if got := len(w.State().Hosts) == 1; got != tc.hosts {
-					t.Errorf("the other host is known: %v, want %v", got, tc.hosts)
+					t.Errorf("other host known: %v, want %v", got, tc.hosts)
 				}
 			})
 		})
 	}
 }
 
-// set changes how the store behaves.
+// set calls change with the store locked.
 func (f *fakeStore) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-func (f *fakeStore) count() int {
+func (f *fakeStore) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// TestSuspensionAgesProofs suspends the machine after a proof. By a clock that
-// stood still meanwhile the proof would be fresh, and keys in use for as much longer.
+// TestSuspensionAgesProofs: the host is suspended after a proof. With a clock that stops
+// during the suspension, the proof would seem fresh, and the callers' keys would be
+// accepted for longer by the length of the suspension.
 func TestSuspensionAgesProofs(t *testing.T) {
 	var boot atomic.Int64
 	clock := boottime.New(boottime.WithBootTime(func() (time.Duration, error) { return time.Duration(boot.Load()), nil }))
