--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -141,7 +141,7 @@
 		return nil, err
 	}
 	e.exchange = n
-	p.Tables.ProofWait = s.Bounds.Config / proofsPerBound
+	p.Tables.PollWait = s.Bounds.Config / proofsPerBound
 	e.watcher = watch.New(p.Source, p.Tables, p.Decoders, e.log, e.metrics, e.setHosts)
 	e.watcher.SetClock(e.clock)
 	e.relayClient, e.relayServer = relay.NewClient(e.watcher, e.log), relay.NewServer(e.watcher)
@@ -211,7 +211,7 @@
 	go e.serve(&http.Server{Handler: e.operatorHandler(), ReadHeaderTimeout: headerTimeout}, listeners[2])
 	go e.serve(e.relayServer, listeners[3])
 	if s.FirstStart {
-		e.watcher.SetAsking(watch.AskNothing, maxReaderPause)
+		e.watcher.SetPolling(watch.PollNothing, maxReaderPause)
 	}
 	go e.watcher.Run(ctx)
 	go e.exchange.Run()
--- a/daemon/entry/readers.go
+++ b/daemon/entry/readers.go
@@ -85,7 +85,7 @@
 	// queries from the platform itself.
 	sourceChoice struct {
 		sources []string // addresses
-		queries watch.Asking
+		queries watch.PollScope
 		pause   time.Duration // maximum pause after a failed query
 	}
 
@@ -144,15 +144,15 @@
 // calls. A host of any rank whose list of servers stays too old while the configuration is
 // proven queries all tables: its sources may be alive and have an old list themselves, and
 // with that list it would send requests to servers that have left.
-func (in sourceInput) queriesAt(rank int, remoteAlive bool) watch.Asking {
+func (in sourceInput) queriesAt(rank int, remoteAlive bool) watch.PollScope {
 	overdue := in.relayedAge - in.bound - 2*escalationInterval
 	switch {
 	case rank < in.queryingHosts(remoteAlive), overdue > relayTimeout && in.provenAge < in.bound, in.serversStaleFor > in.bound/2:
-		return watch.AskAll
+		return watch.PollAll
 	case overdue > 0:
-		return watch.AskConfig
+		return watch.PollConfig
 	}
-	return watch.AskNothing
+	return watch.PollNothing
 }
 
 // queryingHosts returns the number of hosts of a hall that query all tables. It doubles
@@ -184,7 +184,7 @@
 	st.recordServers(now, provenAge < bound && ageOr(sinceKnown, e.watcher.ServersAge) > bound)
 	c := sourceInput{
 		host: s.Host, hall: s.Hall, link: s.Link, others: e.liveHosts(sinceKnown < assumedAliveTime),
-		relayedAge: ageOr(sinceKnown, e.watcher.ToldAge), provenAge: provenAge, serversStaleFor: st.serversStaleFor(now), bound: bound,
+		relayedAge: ageOr(sinceKnown, e.watcher.RelayedAge), provenAge: provenAge, serversStaleFor: st.serversStaleFor(now), bound: bound,
 	}.choose()
 	e.apply(st, c, now)
 }
@@ -218,11 +218,11 @@
 // apply puts a choice into effect, and logs it if it has changed. Queries of all tables and
 // additional sources are kept for minChoiceTime.
 func (e *Entry) apply(st *sourceState, c sourceChoice, now time.Time) {
-	if c.queries == watch.AskAll {
+	if c.queries == watch.PollAll {
 		st.queryUntil = now.Add(minChoiceTime)
 	}
 	if now.Before(st.queryUntil) {
-		c.queries = watch.AskAll
+		c.queries = watch.PollAll
 	}
 	if len(c.sources) > len(st.sources) {
 		st.wideUntil = now.Add(minChoiceTime)
@@ -234,9 +234,9 @@
 		return
 	}
 	st.sourceChoice = c
-	e.watcher.SetAsking(c.queries, c.pause)
+	e.watcher.SetPolling(c.queries, c.pause)
 	e.relayClient.SetServers(c.sources)
-	e.log.Write(event.RelayChosen, slog.Bool("asks", c.queries != watch.AskNothing), slog.String("hears", strings.Join(c.sources, ",")),
+	e.log.Write(event.RelayChosen, slog.Bool("asks", c.queries != watch.PollNothing), slog.String("hears", strings.Join(c.sources, ",")),
 		slog.Int("others", e.neighbors.Load().otherHosts))
 }
 
@@ -246,9 +246,9 @@
 	now := e.clock.Now()
 	switch {
 	case !e.settings.Load().FirstStart || now > discoveryTimeout:
-		e.watcher.SetAsking(watch.AskAll, maxReaderPause)
+		e.watcher.SetPolling(watch.PollAll, maxReaderPause)
 	case announcedAt > 0 && now-time.Duration(announcedAt) > announceWait:
-		e.watcher.SetAsking(watch.AskHosts, maxReaderPause)
+		e.watcher.SetPolling(watch.PollHosts, maxReaderPause)
 	}
 }
 
--- a/daemon/entry/readers_test.go
+++ b/daemon/entry/readers_test.go
@@ -46,25 +46,25 @@
 	for name, tc := range map[string]struct {
 		perHall, rank         int
 		relayedAge, provenAge time.Duration
-		queries               watch.Asking
+		queries               watch.PollScope
 		sources               int
 		pause                 time.Duration
 	}{
-		"first reader":  {25, 0, fresh, fresh, watch.AskAll, 2, maxReaderPause},
-		"second reader": {25, 1, fresh, fresh, watch.AskNothing, 2, maxReaderPause},
-		"second reader, no proof relayed for 2.8 s":  {25, 1, late, fresh, watch.AskAll, 2, maxReaderPause},
-		"second reader, no proof for 2.8 s":          {25, 1, late, late, watch.AskAll, 7 + remoteSourcesStale, maxReaderPause},
-		"third host":                                 {25, 2, fresh, fresh, watch.AskNothing, 2, maxReaderPause},
-		"host of low rank":                           {25, 20, fresh, fresh, watch.AskNothing, 2, hallPause},
-		"third host, no proof for 2.8 s":             {25, 2, late, late, watch.AskNothing, 2, maxReaderPause},
-		"third host, no proof for 3.1 s":             {25, 2, later, later, watch.AskAll, 2, maxReaderPause},
-		"fifth host, no proof for 3.1 s":             {25, 4, later, later, watch.AskNothing, 2, maxReaderPause},
-		"fifth host, no proof for 4 s":               {25, 4, latest, latest, watch.AskAll, 2, maxReaderPause},
-		"host of low rank, no proof for 3.1 s":       {25, 20, later, later, watch.AskNothing, 2, hallPause},
-		"host of low rank, no proof for 4 s":         {25, 20, latest, latest, watch.AskConfig, 2, hallPause},
-		"host of low rank, no proof for 6 s":         {25, 20, silent, silent, watch.AskConfig, 2, hallPause},
-		"host of low rank, no proof relayed for 6 s": {25, 20, silent, fresh, watch.AskAll, 2, hallPause},
-		"only host of its hall":                      {1, 0, fresh, fresh, watch.AskAll, 1, maxReaderPause},
+		"first reader":  {25, 0, fresh, fresh, watch.PollAll, 2, maxReaderPause},
+		"second reader": {25, 1, fresh, fresh, watch.PollNothing, 2, maxReaderPause},
+		"second reader, no proof relayed for 2.8 s":  {25, 1, late, fresh, watch.PollAll, 2, maxReaderPause},
+		"second reader, no proof for 2.8 s":          {25, 1, late, late, watch.PollAll, 7 + remoteSourcesStale, maxReaderPause},
+		"third host":                                 {25, 2, fresh, fresh, watch.PollNothing, 2, maxReaderPause},
+		"host of low rank":                           {25, 20, fresh, fresh, watch.PollNothing, 2, hallPause},
+		"third host, no proof for 2.8 s":             {25, 2, late, late, watch.PollNothing, 2, maxReaderPause},
+		"third host, no proof for 3.1 s":             {25, 2, later, later, watch.PollAll, 2, maxReaderPause},
+		"fifth host, no proof for 3.1 s":             {25, 4, later, later, watch.PollNothing, 2, maxReaderPause},
+		"fifth host, no proof for 4 s":               {25, 4, latest, latest, watch.PollAll, 2, maxReaderPause},
+		"host of low rank, no proof for 3.1 s":       {25, 20, later, later, watch.PollNothing, 2, hallPause},
+		"host of low rank, no proof for 4 s":         {25, 20, latest, latest, watch.PollConfig, 2, hallPause},
+		"host of low rank, no proof for 6 s":         {25, 20, silent, silent, watch.PollConfig, 2, hallPause},
+		"host of low rank, no proof relayed for 6 s": {25, 20, silent, fresh, watch.PollAll, 2, hallPause},
+		"only host of its hall":                      {1, 0, fresh, fresh, watch.PollAll, 1, maxReaderPause},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := inputAt(testHosts(tc.perHall), tc.rank, tc.relayedAge, tc.provenAge).choose()
@@ -80,7 +80,7 @@
 func TestBothReadersOfOnlyHallQuery(t *testing.T) {
 	in := inputAt(testHosts(25), 1, time.Second, time.Second)
 	in.others = slices.DeleteFunc(in.others, func(h watch.Host) bool { return h.Hall != in.hall })
-	if c := in.choose(); c.queries != watch.AskAll {
+	if c := in.choose(); c.queries != watch.PollAll {
 		t.Errorf("second reader of the only hall queries %v", c.queries)
 	}
 }
@@ -92,12 +92,12 @@
 	const fresh, bound = time.Second, 3 * time.Second
 	for name, tc := range map[string]struct {
 		stale []bool // on each tick of upkeep, whether the list is too old
-		want  watch.Asking
+		want  watch.PollScope
 	}{
-		"list not too old":               {[]bool{false, false}, watch.AskNothing},
-		"list too old for two ticks":     {[]bool{false, true, true}, watch.AskNothing},
-		"list too old for eight ticks":   {slices.Repeat([]bool{true}, 8), watch.AskAll},
-		"list relayed after eight ticks": {append(slices.Repeat([]bool{true}, 8), false, true), watch.AskNothing},
+		"list not too old":               {[]bool{false, false}, watch.PollNothing},
+		"list too old for two ticks":     {[]bool{false, true, true}, watch.PollNothing},
+		"list too old for eight ticks":   {slices.Repeat([]bool{true}, 8), watch.PollAll},
+		"list relayed after eight ticks": {append(slices.Repeat([]bool{true}, 8), false, true), watch.PollNothing},
 	} {
 		t.Run(name, func(t *testing.T) {
 			st, now := sourceState{}, time.Now()
@@ -179,7 +179,7 @@
 		in := sourceInput{host: h.Name, hall: h.Hall, link: h.Link, bound: 3 * time.Second}
 		in.others = slices.DeleteFunc(slices.Clone(hosts), func(o watch.Host) bool { return o.Name == h.Name })
 		c := in.choose()
-		if c.queries != watch.AskNothing {
+		if c.queries != watch.PollNothing {
 			querying++
 			if h.Link != 200 {
 				t.Errorf("%s with a link of %v Mbit/s queries the platform", h.Name, h.Link)
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -166,7 +166,7 @@
 				joined = append(joined, u)
 				continue
 			}
-			joined[i] = joined[i].Join(u)
+			joined[i] = joined[i].Merge(u)
 		default:
 			return joined
 		}
@@ -305,7 +305,7 @@
 			c.setUnreachable(addr, false)
 		}
 		if u.Table != "" {
-			c.watcher.Hear(ctx, u, requested)
+			c.watcher.Receive(ctx, u, requested)
 		}
 	}
 }
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -55,7 +55,7 @@
 				return answer(table)
 			},
 		},
-		watch.Tables{Config: "configs", ConfigKey: "config", Servers: "servers", Hosts: "hosts", ProofWait: time.Second},
+		watch.Tables{Config: "configs", ConfigKey: "config", Servers: "servers", Hosts: "hosts", PollWait: time.Second},
 		watch.Decoders{
 			Config: func(b []byte) (*site.Config, error) {
 				n, err := strconv.ParseInt(string(b), 10, 64)
@@ -133,7 +133,7 @@
 func TestEchoedProofDoesNotCountAsAnotherHosts(t *testing.T) {
 	reader, other := newWatcher(t, func() int { return 3 }), newWatcher(t, nil)
 	receive(t, other, serve(t, reader))
-	eventually(t, "the other host has a proof", func() bool { _, ok := other.ToldAge(); return ok })
+	eventually(t, "the other host has a proof", func() bool { _, ok := other.RelayedAge(); return ok })
 	updates, cancel := other.Subscribe(nil)
 	defer cancel()
 	for range 20 {
@@ -147,9 +147,9 @@
 			age, ok := reader.ConfigAge()
 			return ok && age < reader.Now()-requested
 		})
-		reader.Hear(context.Background(), u, requested)
+		reader.Receive(context.Background(), u, requested)
 	}
-	if _, ok := reader.ToldAge(); ok {
+	if _, ok := reader.RelayedAge(); ok {
 		t.Error("the reader counts its own proofs as another host's")
 	}
 }
@@ -211,8 +211,8 @@
 				if u.Table != "configs" {
 					continue
 				}
-				if got := len(u.Rows) > 0; got != tc.rows || got != u.Whole {
-					t.Errorf("received %d rows, whole: %v, want rows: %v", len(u.Rows), u.Whole, tc.rows)
+				if got := len(u.Rows) > 0; got != tc.rows || got != u.Complete {
+					t.Errorf("received %d rows, whole: %v, want rows: %v", len(u.Rows), u.Complete, tc.rows)
 				}
 				return
 			}
@@ -229,7 +229,7 @@
 	t.Cleanup(func() { c.SetServers(nil) })
 	c.SetServers([]string{openAddr, closedAddr})
 	eventually(t, "one server is unreachable and the other is not", func() bool {
-		_, ok := other.ToldAge()
+		_, ok := other.RelayedAge()
 		return ok && c.Unreachable(closedAddr) && !c.Unreachable(openAddr)
 	})
 	c.SetServers([]string{openAddr})
