--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -134,7 +134,7 @@
 	log := changes.New(f.Platform.Store())
 	t := devel.Templates()[0]
 	for i := range templateTries {
-		now, _ := f.Nodes[0].Loop().View().Book.Template(t.Workspace)
+		now, _ := f.Nodes[0].Loop().View().Templates.Template(t.Workspace)
 		c, err := log.Apply(ctx, fmt.Sprint("capacity-", i), now.WithCrossover(template.Crossover{
 			State: template.Moving, Percent: i, Epoch: now.Crossover.Epoch + 1,
 		}), now.Version)
@@ -144,7 +144,7 @@
 		accepted := time.Now()
 		err = await(ctx, func() bool {
 			for _, n := range f.Nodes {
-				if n.Loop().View().Book.Number() < c.Number {
+				if n.Loop().View().Templates.Number() < c.Number {
 					return false
 				}
 			}
--- a/cmd/capacity/start.go
+++ b/cmd/capacity/start.go
@@ -71,7 +71,7 @@
 	go func() { peaks <- busiest(watched, f) }()
 	err = await(ctx, func() bool {
 		for _, n := range f.Nodes {
-			if n.Loop().View().Book.Number() < fullWorkspaces {
+			if n.Loop().View().Templates.Number() < fullWorkspaces {
 				return false
 			}
 		}
--- a/cmd/devel/crossover_test.go
+++ b/cmd/devel/crossover_test.go
@@ -20,7 +20,7 @@
 // move moves the till's crossover and waits until it is in force everywhere.
 func move(t *testing.T, f *devel.Fleet, state template.State, percent int) template.Template {
 	t.Helper()
-	now, _ := f.Nodes[0].Loop().View().Book.Template("till")
+	now, _ := f.Nodes[0].Loop().View().Templates.Template("till")
 	next, err := crossover.Next(now, state, percent)
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 	eventually(t, "the move is in force", func() bool {
 		for _, n := range f.Nodes {
-			if n.Loop().View().Book.Number() < c.Number {
+			if n.Loop().View().Templates.Number() < c.Number {
 				return false
 			}
 		}
--- a/cmd/devel/cut_test.go
+++ b/cmd/devel/cut_test.go
@@ -76,12 +76,12 @@
 // change from daemons, and a new daemon starts from one.
 func TestTemplatesWithoutThePlatform(t *testing.T) {
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(3), devel.WithEngines(1))
-	now, _ := f.Nodes[0].Loop().View().Book.Template("till")
+	now, _ := f.Nodes[0].Loop().View().Templates.Template("till")
 	c, err := changes.New(f.Platform.Raw()).Apply(context.Background(), "x", now.WithUrgency(template.Review), now.Version)
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "one daemon has the change", func() bool { return f.Nodes[0].Loop().View().Book.Number() >= c.Number })
+	eventually(t, "one daemon has the change", func() bool { return f.Nodes[0].Loop().View().Templates.Number() >= c.Number })
 	f.Platform.SetFault(platform.Fault{Down: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -91,7 +91,7 @@
 	}
 	eventually(t, "a new daemon and all others have the change while the platform is down", func() bool {
 		for _, n := range f.Nodes {
-			if n.Loop().View().Book.Number() < c.Number {
+			if n.Loop().View().Templates.Number() < c.Number {
 				return false
 			}
 		}
@@ -135,7 +135,7 @@
 			started := time.Now()
 			quiet := func() bool { // no daemon would place anything there
 				for _, n := range f.Nodes {
-					if n.Loop().View().Home(devel.Model, devel.Version).Len() != 1 {
+					if n.Loop().View().LocalEngines(devel.Model, devel.Version).Len() != 1 {
 						return false
 					}
 				}
--- a/cmd/devel/devel.go
+++ b/cmd/devel/devel.go
@@ -272,10 +272,10 @@
 func (f *Fleet) Ready() bool {
 	for _, n := range f.Nodes {
 		v := n.Loop().View()
-		if int(v.Book.Number()) < len(Templates()) || len(v.Members) < len(f.Nodes) {
+		if int(v.Templates.Number()) < len(Templates()) || len(v.Members) < len(f.Nodes) {
 			return false
 		}
-		if v.Home(Model, Version).Len()+v.Away(Model, Version).Len() < len(f.Engines) {
+		if v.LocalEngines(Model, Version).Len()+v.RemoteEngines(Model, Version).Len() < len(f.Engines) {
 			return false
 		}
 	}
--- a/cmd/devel/once_test.go
+++ b/cmd/devel/once_test.go
@@ -108,7 +108,7 @@
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(2), devel.WithEngines(1))
 	f.Platform.SetHosts(nil) // the service has gone from the list
 	eventually(t, "no daemon knows a host of the service", func() bool {
-		return len(f.Nodes[0].Loop().View().Hosts("vouchers")) == 0 && len(f.Nodes[1].Loop().View().Hosts("vouchers")) == 0
+		return len(f.Nodes[0].Loop().View().ServiceHosts("vouchers")) == 0 && len(f.Nodes[1].Loop().View().ServiceHosts("vouchers")) == 0
 	})
 	key := map[string]string{"Idempotency-Key": uuid.Must(uuid.NewV7()).String()}
 	for i, n := range f.Nodes {
@@ -119,7 +119,7 @@
 		}
 	}
 	f.Platform.SetHosts(f.Hosts()) // it is back, and the key must stay void
-	eventually(t, "the service is known again", func() bool { return len(f.Nodes[1].Loop().View().Hosts("vouchers")) == 1 })
+	eventually(t, "the service is known again", func() bool { return len(f.Nodes[1].Loop().View().ServiceHosts("vouchers")) == 1 })
 	_, body := post(t, f.Nodes[1].Callers(), "/v1/services/issue", "till", "{}", key)
 	var e errorAnswer
 	if err := json.Unmarshal([]byte(body), &e); err != nil || e.Error.Kind != fault.NotRun {
--- a/cmd/devel/placement_test.go
+++ b/cmd/devel/placement_test.go
@@ -51,7 +51,7 @@
 		}
 		return ask("captions")
 	})
-	till, _ := f.Nodes[0].Loop().View().Book.Template("till")
+	till, _ := f.Nodes[0].Loop().View().Templates.Template("till")
 	if _, err := log.Apply(context.Background(), "v2-till", till.WithModels(template.Model{Name: devel.Model, Version: "2"}), till.Version); err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/callers/server.go
+++ b/daemon/callers/server.go
@@ -207,7 +207,7 @@
 		return r, fault.New(fault.Unauthorized, "the request has no credential",
 			"send Authorization: Bearer with the workspace's credential")
 	}
-	r.workspace, ok = s.loop.View().Book.Authorize(credential)
+	r.workspace, ok = s.loop.View().Templates.Authorize(credential)
 	if !ok {
 		return r, fault.New(fault.Unauthorized, "no workspace has this credential",
 			"check the credential; a new template is in force within seconds")
@@ -238,7 +238,7 @@
 	switch {
 	case s.unready.Load() || v.Draining:
 		c.Error("draining\n", http.StatusServiceUnavailable)
-	case v.Book.Number() == 0:
+	case v.Templates.Number() == 0:
 		c.Error("no templates yet\n", http.StatusServiceUnavailable)
 	default:
 		c.SetBodyString("ready\n")
--- a/daemon/calls/calls.go
+++ b/daemon/calls/calls.go
@@ -138,7 +138,7 @@
 	if x.OldSite {
 		return c.loop.View().OldSite()
 	}
-	return c.loop.View().Hosts(x.Service)
+	return c.loop.View().ServiceHosts(x.Service)
 }
 
 func (c *Caller) send(ctx context.Context, h hosts.Host, x Call) (claim.Answer, error) {
--- a/daemon/control/group.go
+++ b/daemon/control/engineset.go
@@ -15,15 +15,15 @@
 const ringPoints = 8
 
 type (
-	// Group is the immutable list of the engines that are up and hold one
+	// EngineSet is the immutable list of the engines that are up and hold one
 	// model in one version, in the daemon's own hall or in the others.
-	Group struct {
-		engines []Choice
+	EngineSet struct {
+		engines []Candidate
 		ring    []point
 	}
 
-	// Choice is one engine that a request may go to.
-	Choice struct {
+	// Candidate is one engine that a request may go to.
+	Candidate struct {
 		Addr  string
 		Owner string // the daemon that owns it
 	}
@@ -40,7 +40,7 @@
 )
 
 // Len returns the number of engines.
-func (g *Group) Len() int {
+func (g *EngineSet) Len() int {
 	if g == nil {
 		return 0
 	}
@@ -48,11 +48,11 @@
 }
 
 // At returns the engine with index i.
-func (g *Group) At(i int) Choice { return g.engines[i] }
+func (g *EngineSet) At(i int) Candidate { return g.engines[i] }
 
-// Near returns the index of the engine that a prefix is hashed to. When an
+// ByHash returns the index of the engine that a prefix is hashed to. When an
 // engine goes or comes, only the prefixes that were or will be its own move.
-func (g *Group) Near(prefix uint64) int {
+func (g *EngineSet) ByHash(prefix uint64) int {
 	i := sort.Search(len(g.ring), func(i int) bool { return g.ring[i].at >= prefix })
 	if i == len(g.ring) {
 		i = 0
@@ -61,8 +61,8 @@
 }
 
 // newGroups builds the groups of all models.
-func newGroups(v *View) map[groupKey]*Group {
-	out := map[groupKey]*Group{}
+func newGroups(v *View) map[groupKey]*EngineSet {
+	out := map[groupKey]*EngineSet{}
 	for _, e := range v.Engines {
 		if e.Status != directory.Up {
 			continue
@@ -70,9 +70,9 @@
 		for _, c := range e.Copies {
 			k := groupKey{home: e.Hall == v.Self.Hall, model: c.Model, version: c.Version}
 			if out[k] == nil {
-				out[k] = &Group{}
+				out[k] = &EngineSet{}
 			}
-			out[k].add(Choice{Addr: e.Addr, Owner: v.owners[e.Addr]})
+			out[k].add(Candidate{Addr: e.Addr, Owner: v.owners[e.Addr]})
 		}
 	}
 	for _, g := range out {
@@ -81,7 +81,7 @@
 	return out
 }
 
-func (g *Group) add(c Choice) {
+func (g *EngineSet) add(c Candidate) {
 	n := len(g.engines)
 	g.engines = append(g.engines, c)
 	for i := range ringPoints {
--- a/daemon/control/gone_test.go
+++ b/daemon/control/gone_test.go
@@ -46,7 +46,7 @@
 	c.do(func(s *control.State) {
 		for _, p := range s.DuePolls() {
 			polls++
-			s.TakePoll(control.Poll{Addr: p.Addr, Err: err, Report: engine.Report{Incarnation: 1, TotalTokens: 1000}})
+			s.ApplyPoll(control.PollResult{Addr: p.Addr, Err: err, Report: engine.Report{Incarnation: 1, TotalTokens: 1000}})
 		}
 		s.Tick()
 	})
@@ -105,9 +105,9 @@
 	silent := errors.New("no answer")
 	owner, other := newClocked(t, "127.0.0.1:7000"), newClocked(t, "127.0.0.1:7001")
 	exchange := func() {
-		var a, b control.News
-		owner.do(func(s *control.State) { a = s.All() })
-		other.do(func(s *control.State) { b = s.All() })
+		var a, b control.Gossip
+		owner.do(func(s *control.State) { a = s.AllRecords() })
+		other.do(func(s *control.State) { b = s.AllRecords() })
 		owner.do(func(s *control.State) { s.MergeEngines(b.Engines) })
 		other.do(func(s *control.State) { s.MergeEngines(a.Engines) })
 	}
--- a/daemon/control/loop_test.go
+++ b/daemon/control/loop_test.go
@@ -16,9 +16,9 @@
 	for n := uint64(1); n <= changes; n++ {
 		x := template.Change{Number: n, Template: template.Template{Workspace: "till", Version: n}}
 		c.loop.Do(context.Background(), func(s *control.State) {
-			s.MoveBook(template.Update{Changes: []template.Change{x}})
+			s.UpdateTemplates(template.Update{Changes: []template.Change{x}})
 		})
-		if got := c.loop.View().Book.Number(); got != n {
+		if got := c.loop.View().Templates.Number(); got != n {
 			t.Fatalf("change %d is in force, the view has %d", n, got)
 		}
 	}
--- a/daemon/control/owned.go
+++ b/daemon/control/owned.go
@@ -35,15 +35,15 @@
 	polling bool
 }
 
-// EnginePoll names an engine to be polled, and the cache events known of it.
-type EnginePoll struct {
+// PollTarget names an engine to be polled, and the cache events known of it.
+type PollTarget struct {
 	Addr   string
 	After  uint64
 	Resync bool
 }
 
-// Poll is the outcome of polling an engine.
-type Poll struct {
+// PollResult is the outcome of polling an engine.
+type PollResult struct {
 	Addr   string
 	Err    error
 	Report engine.Report
@@ -53,7 +53,7 @@
 
 // DuePolls brings the list of engines that this daemon owns up to date, and
 // returns those that are not being polled already.
-func (s *State) DuePolls() []EnginePoll {
+func (s *State) DuePolls() []PollTarget {
 	live := s.liveInHall()
 	mine := map[string]bool{}
 	for addr, e := range s.hallEngines() {
@@ -65,7 +65,7 @@
 			s.owned[addr] = &ownedEngine{record: e, load: route.NewLoadTracker(addr, s.now()), groups: group.NewQueue()}
 		}
 	}
-	var out []EnginePoll
+	var out []PollTarget
 	for addr, o := range s.owned {
 		if !mine[addr] {
 			delete(s.owned, addr)
@@ -74,7 +74,7 @@
 		if !o.polling {
 			o.polling = true
 			x := o.load.CacheIndex()
-			out = append(out, EnginePoll{Addr: addr, After: x.LastEvent(), Resync: !x.InSync()})
+			out = append(out, PollTarget{Addr: addr, After: x.LastEvent(), Resync: !x.InSync()})
 		}
 	}
 	return out
@@ -111,8 +111,8 @@
 	return as
 }
 
-// TakePoll takes the outcome of a poll.
-func (s *State) TakePoll(p Poll) {
+// ApplyPoll takes the outcome of a poll.
+func (s *State) ApplyPoll(p PollResult) {
 	o, ok := s.owned[p.Addr]
 	if !ok {
 		return
@@ -165,7 +165,7 @@
 	return false
 }
 
-func takeEvents(o *ownedEngine, p Poll) {
+func takeEvents(o *ownedEngine, p PollResult) {
 	x := o.load.CacheIndex()
 	if p.Resync {
 		if x.LastEvent() > 0 {
@@ -253,9 +253,9 @@
 	return t
 }
 
-// Finished takes the end of an attempt on an owned engine; failed says that the
+// FinishAttempt takes the end of an attempt on an owned engine; failed says that the
 // engine broke it off or could not be reached.
-func (s *State) Finished(attempt, addr string, firstToken time.Duration, failed bool) {
+func (s *State) FinishAttempt(attempt, addr string, firstToken time.Duration, failed bool) {
 	o, ok := s.owned[addr]
 	if !ok {
 		return
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -41,8 +41,8 @@
 	dirty    bool
 }
 
-// News is what daemons tell each other in passing.
-type News struct {
+// Gossip is what daemons tell each other in passing.
+type Gossip struct {
 	Members        []member.Member
 	Engines        []directory.Engine
 	TemplateNumber uint64
@@ -89,8 +89,8 @@
 	}
 }
 
-// Silent says that a member did not answer.
-func (s *State) Silent(addr string) {
+// PingFailed says that a member did not answer.
+func (s *State) PingFailed(addr string) {
 	if s.members.PingFailed(addr, s.now()) {
 		s.dirty = true
 		event.MemberSuspected.Info("member", addr)
@@ -112,29 +112,29 @@
 	}
 }
 
-// News returns what rides on the next heartbeat.
-func (s *State) News() News {
-	return News{
+// NextGossip returns what rides on the next heartbeat.
+func (s *State) NextGossip() Gossip {
+	return Gossip{
 		Members:        s.members.Updates(newsMembers),
 		Engines:        s.engines.News(newsEngines, s.members.Len()),
 		TemplateNumber: s.book.Number(),
 	}
 }
 
-// All returns every member and engine, for a sync.
-func (s *State) All() News {
-	return News{Members: s.members.All(), Engines: s.engines.All(), TemplateNumber: s.book.Number()}
+// AllRecords returns every member and engine, for a sync.
+func (s *State) AllRecords() Gossip {
+	return Gossip{Members: s.members.All(), Engines: s.engines.All(), TemplateNumber: s.book.Number()}
 }
 
-// Take takes what another daemon has told.
-func (s *State) Take(n News) {
+// MergeGossip takes what another daemon has told.
+func (s *State) MergeGossip(n Gossip) {
 	s.MergeMembers(n.Members)
 	s.MergeEngines(n.Engines)
-	s.HearNumber(n.TemplateNumber)
+	s.ObserveTemplateNumber(n.TemplateNumber)
 }
 
-// Known says that another daemon, picked at random, has the same records.
-func (s *State) Known() {
+// PeerInSync says that another daemon, picked at random, has the same records.
+func (s *State) PeerInSync() {
 	s.members.PeerInSync()
 	s.engines.Known(s.members.Len())
 }
@@ -166,16 +166,16 @@
 	return d.Sum64()
 }
 
-// MoveBook moves the templates in force forward; what is older changes
+// UpdateTemplates moves the templates in force forward; what is older changes
 // nothing.
-func (s *State) MoveBook(u template.Update) {
+func (s *State) UpdateTemplates(u template.Update) {
 	b, r := s.book.Update(u, s.recent)
 	if b.Number() == s.book.Number() {
 		return
 	}
 	event.TemplatesMoved.Info("from", s.book.Number(), "to", b.Number())
 	s.book, s.recent, s.bookAt, s.dirty = b, r, s.now(), true
-	s.HearNumber(b.Number())
+	s.ObserveTemplateNumber(b.Number())
 }
 
 // SetHosts takes the platform's host list.
@@ -191,8 +191,8 @@
 	}
 }
 
-// PlatformAnswered notes whether the platform answered a request.
-func (s *State) PlatformAnswered(ok bool) {
+// SetPlatformReachable notes whether the platform answered a request.
+func (s *State) SetPlatformReachable(ok bool) {
 	if s.platform.down == !ok {
 		return
 	}
@@ -226,24 +226,24 @@
 	return out
 }
 
-// Asked counts a request of this daemon's callers.
-func (s *State) Asked(c directory.Copy, tokens int) { s.demand.Add(c, tokens, s.now()) }
+// CountRequest counts a request of this daemon's callers.
+func (s *State) CountRequest(c directory.Copy, tokens int) { s.demand.Add(c, tokens, s.now()) }
 
 // Demand returns what this daemon's callers ask for.
 func (s *State) Demand() placement.Demand { return s.demand.Demand(s.now()) }
 
-// HearNumber notes that somebody has template changes up to number.
-func (s *State) HearNumber(number uint64) { s.heard = max(s.heard, number) }
+// ObserveTemplateNumber notes that somebody has template changes up to number.
+func (s *State) ObserveTemplateNumber(number uint64) { s.heard = max(s.heard, number) }
 
-// Heard returns the highest number of a template change that was heard of.
-func (s *State) Heard() uint64 { return s.heard }
+// LatestTemplateNumber returns the highest number of a template change that was heard of.
+func (s *State) LatestTemplateNumber() uint64 { return s.heard }
 
 // maxStrangers bounds the unknown daemons that are tried at once.
 const maxStrangers = 3
 
-// Strangers returns a few daemons, from the settings and the host list, that
+// UnknownDaemons returns a few daemons, from the settings and the host list, that
 // are not members yet.
-func (s *State) Strangers(bootstrap []string) []string {
+func (s *State) UnknownDaemons(bootstrap []string) []string {
 	known := map[string]bool{}
 	for _, m := range s.members.All() {
 		known[m.Addr] = m.Status != member.Dead
--- a/daemon/control/view.go
+++ b/daemon/control/view.go
@@ -16,11 +16,11 @@
 	View struct {
 		// Self is the daemon's own record.
 		Self member.Member
-		// Book has the templates in force, since BookAt.
-		Book   *template.Set
-		BookAt time.Time
-		// Recent has the last template changes.
-		Recent template.RecentChanges
+		// Templates has the templates in force, since BookAt.
+		Templates      *template.Set
+		TemplatesSince time.Time
+		// RecentChanges has the last template changes.
+		RecentChanges template.RecentChanges
 		// Members has all daemons known.
 		Members []member.Member
 		// Engines has all engines known.
@@ -31,7 +31,7 @@
 		Draining bool
 
 		live     map[string][]string // hall to daemons
-		groups   map[groupKey]*Group
+		groups   map[groupKey]*EngineSet
 		owners   map[string]string       // engine to its owner
 		services map[string][]hosts.Host // plain service to its hosts
 		oldSite  []hosts.Host
@@ -41,18 +41,18 @@
 
 func newView(s *State) *View {
 	v := &View{
-		Self:         s.members.Self(),
-		Book:         s.book,
-		BookAt:       s.bookAt,
-		Recent:       s.recent,
-		Members:      s.members.All(),
-		Engines:      s.engines.All(),
-		PlatformDown: s.platform.down,
-		Draining:     s.draining,
-		live:         map[string][]string{},
-		owners:       map[string]string{},
-		services:     map[string][]hosts.Host{},
-		hosts:        s.hosts,
+		Self:           s.members.Self(),
+		Templates:      s.book,
+		TemplatesSince: s.bookAt,
+		RecentChanges:  s.recent,
+		Members:        s.members.All(),
+		Engines:        s.engines.All(),
+		PlatformDown:   s.platform.down,
+		Draining:       s.draining,
+		live:           map[string][]string{},
+		owners:         map[string]string{},
+		services:       map[string][]hosts.Host{},
+		hosts:          s.hosts,
 	}
 	for _, m := range v.Members {
 		if m.Status == member.Alive || m.Status == member.Suspect {
@@ -81,14 +81,14 @@
 	}
 }
 
-// Home returns the engines of the daemon's own hall that are up and hold a
+// LocalEngines returns the engines of the daemon's own hall that are up and hold a
 // model in a version; it may be nil.
-func (v *View) Home(model, version string) *Group {
+func (v *View) LocalEngines(model, version string) *EngineSet {
 	return v.groups[groupKey{home: true, model: model, version: version}]
 }
 
-// Away returns those of the other halls; it may be nil.
-func (v *View) Away(model, version string) *Group {
+// RemoteEngines returns those of the other halls; it may be nil.
+func (v *View) RemoteEngines(model, version string) *EngineSet {
 	return v.groups[groupKey{model: model, version: version}]
 }
 
@@ -111,12 +111,12 @@
 	return i >= 0 && v.hosts[i].ChecksFence
 }
 
-// Live returns the daemons of a hall that are thought alive.
-func (v *View) Live(hall string) []string { return v.live[hall] }
+// LiveDaemons returns the daemons of a hall that are thought alive.
+func (v *View) LiveDaemons(hall string) []string { return v.live[hall] }
 
-// Hosts returns the hosts of a plain service, those of the daemon's own hall
+// ServiceHosts returns the hosts of a plain service, those of the daemon's own hall
 // first.
-func (v *View) Hosts(service string) []hosts.Host {
+func (v *View) ServiceHosts(service string) []hosts.Host {
 	hs := slices.Clone(v.services[service])
 	slices.SortStableFunc(hs, func(a, b hosts.Host) int {
 		return far(a, v.Self.Hall) - far(b, v.Self.Hall)
--- a/daemon/dispatch/bench_test.go
+++ b/daemon/dispatch/bench_test.go
@@ -38,7 +38,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				v := l.View()
-				if len(x.ownersOf(v.Home("m", "1"))) == 0 {
+				if len(x.ownersOf(v.LocalEngines("m", "1"))) == 0 {
 					b.Fatal("no owners")
 				}
 				if _, _, ok := route.Choose(x.prompt, offers, time.Now()); !ok {
--- a/daemon/dispatch/dispatch.go
+++ b/daemon/dispatch/dispatch.go
@@ -153,7 +153,7 @@
 	}
 	d.budgets.Earn(r.Workspace.Workspace)
 	d.loop.Post(func(s *control.State) {
-		s.Asked(directory.Copy{Model: r.Model.Name, Version: r.Model.Version}, x.prompt.Memory())
+		s.CountRequest(directory.Copy{Model: r.Model.Name, Version: r.Model.Version}, x.prompt.Memory())
 	})
 	err := x.all(ctx)
 	x.record.Outcome, x.record.FirstToken = "ok", x.outcome.FirstToken
@@ -292,7 +292,7 @@
 	owner := x.loop.View().Owner(o.Addr)
 	tell := func() {
 		if owner == x.loop.View().Self.Addr {
-			x.loop.Post(func(s *control.State) { s.Finished(attempt, o.Addr, first, failed) })
+			x.loop.Post(func(s *control.State) { s.FinishAttempt(attempt, o.Addr, first, failed) })
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
--- a/daemon/dispatch/place.go
+++ b/daemon/dispatch/place.go
@@ -91,12 +91,12 @@
 // offers asks for offers in the daemon's own hall, and in the others too if
 // the wait at home is long.
 func (x *run) offers(ctx context.Context, v *control.View) []route.Offer {
-	home := x.ask(ctx, v, v.Home(x.prompt.Model, x.prompt.Version))
+	home := x.ask(ctx, v, v.LocalEngines(x.prompt.Model, x.prompt.Version))
 	best, _, ok := route.Choose(x.prompt, home, time.Now())
 	if ok && best.Wait < overflowWait && best.Fits && !best.Ejected {
 		return home
 	}
-	away := x.ask(ctx, v, v.Away(x.prompt.Model, x.prompt.Version))
+	away := x.ask(ctx, v, v.RemoteEngines(x.prompt.Model, x.prompt.Version))
 	for i := range away {
 		away[i].Wait += overflowCost
 	}
@@ -106,7 +106,7 @@
 // ask gets offers for some of the engines from their owners, all at once. If
 // none come, since owners are silent or so new that they know nothing of their
 // engines yet, it falls back to the load reports of two engines.
-func (x *run) ask(ctx context.Context, v *control.View, g *control.Group) []route.Offer {
+func (x *run) ask(ctx context.Context, v *control.View, g *control.EngineSet) []route.Offer {
 	if g.Len() == 0 {
 		return nil
 	}
@@ -131,7 +131,7 @@
 // ownersOf picks the owners to ask: that of the engine which the prompt's
 // first block is hashed to, so that equal prefixes meet, and others at
 // random. It looks at a few engines only, however many there are.
-func (x *run) ownersOf(g *control.Group) []string {
+func (x *run) ownersOf(g *control.EngineSet) []string {
 	out := make([]string, 0, ownersAsked)
 	add := func(i int) {
 		c := g.At(i)
@@ -140,7 +140,7 @@
 		}
 	}
 	if len(x.request.Chain) > 0 {
-		add(g.Near(x.request.Chain[0]))
+		add(g.ByHash(x.request.Chain[0]))
 	}
 	if g.Len() <= looks {
 		for _, i := range rand.Perm(g.Len()) {
@@ -169,7 +169,7 @@
 }
 
 // askEngines makes offers from the lagging reports of two random engines.
-func (x *run) askEngines(ctx context.Context, g *control.Group) []route.Offer {
+func (x *run) askEngines(ctx context.Context, g *control.EngineSet) []route.Offer {
 	x.metrics.Count("placed_without_owner_total", 1)
 	var out []route.Offer
 	for range fallbackTries {
--- a/daemon/node/duties.go
+++ b/daemon/node/duties.go
@@ -21,7 +21,7 @@
 
 // batcherOf returns the daemon of the hall that gathers a key's claims.
 func batcherOf(v *control.View, key string) string {
-	few := route.Rank("claims", v.Live(v.Self.Hall))
+	few := route.Rank("claims", v.LiveDaemons(v.Self.Hall))
 	return route.Owner(key, few[:min(batchers, len(few))])
 }
 
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -186,7 +186,7 @@
 		n.background(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 			defer cancel()
-			if err := n.client.TellSuspects(ctx, m.Addr, rs); err != nil {
+			if err := n.client.SendSuspects(ctx, m.Addr, rs); err != nil {
 				event.SuspectUnusable.Warn("daemon", m.Addr, "error", err)
 			}
 		})
--- a/daemon/node/tls_test.go
+++ b/daemon/node/tls_test.go
@@ -125,7 +125,7 @@
 			defer c.Close()
 			call, stop := context.WithTimeout(ctx, 10*time.Second)
 			defer stop()
-			if _, err := c.Ping(call, l.Addr().String(), "x", "a", control.News{}); (err == nil) != tc.ok {
+			if _, err := c.Ping(call, l.Addr().String(), "x", "a", control.Gossip{}); (err == nil) != tc.ok {
 				t.Errorf("the ping gave %v", err)
 			}
 		})
--- a/daemon/operators/fleet.go
+++ b/daemon/operators/fleet.go
@@ -57,7 +57,7 @@
 func (s *Server) status(ctx context.Context, _ *fasthttp.RequestCtx, _ string) (any, error) {
 	v := s.loop.View()
 	r := statusReply{
-		Self: v.Self.Addr, Number: v.Book.Number(), PlatformDown: v.PlatformDown,
+		Self: v.Self.Addr, Number: v.Templates.Number(), PlatformDown: v.PlatformDown,
 		LeaseHolder: s.lease(), Daemons: make([]daemonStatus, len(v.Members)),
 	}
 	var w sync.WaitGroup
@@ -77,16 +77,16 @@
 	d := daemonStatus{Addr: m.Addr, Hall: m.Hall, Status: m.Status.String(), Incarnation: m.Incarnation}
 	switch {
 	case m.Addr == v.Self.Addr:
-		d.Number = v.Book.Number()
+		d.Number = v.Templates.Number()
 	case m.Status != member.Dead:
 		ctx, cancel := context.WithTimeout(ctx, askTime)
 		defer cancel()
-		n, err := s.peers.Ping(ctx, m.Addr, v.Self.Addr, v.Self.Hall, control.News{TemplateNumber: v.Book.Number()})
+		n, err := s.peers.Ping(ctx, m.Addr, v.Self.Addr, v.Self.Hall, control.Gossip{TemplateNumber: v.Templates.Number()})
 		if err == nil {
 			d.Number = n.TemplateNumber
 		}
 	}
-	d.Lags = d.Number < v.Book.Number()
+	d.Lags = d.Number < v.Templates.Number()
 	return d
 }
 
--- a/daemon/operators/templates.go
+++ b/daemon/operators/templates.go
@@ -45,7 +45,7 @@
 
 // templates returns all templates, or the one that is named.
 func (s *Server) templates(_ context.Context, _ *fasthttp.RequestCtx, name string) (any, error) {
-	b := s.loop.View().Book
+	b := s.loop.View().Templates
 	if name == "" {
 		return templatesReply{Number: b.Number(), Templates: b.Templates()}, nil
 	}
@@ -74,7 +74,7 @@
 	if err := decode(c, &r); err != nil {
 		return nil, err
 	}
-	t, ok := s.loop.View().Book.Template(r.Workspace)
+	t, ok := s.loop.View().Templates.Template(r.Workspace)
 	if !ok {
 		return nil, unknownWorkspace(r.Workspace)
 	}
@@ -96,14 +96,14 @@
 	}
 	event.TemplateApplied.Info("workspace", t.Workspace, "version", x.Template.Version, "number", x.Number)
 	s.loop.Do(ctx, func(st *control.State) {
-		st.HearNumber(x.Number)
-		st.MoveBook(template.Update{Changes: []template.Change{x}})
+		st.ObserveTemplateNumber(x.Number)
+		st.UpdateTemplates(template.Update{Changes: []template.Change{x}})
 	})
 	return changeReply{Number: x.Number, ChangeID: id, Template: x.Template}, nil
 }
 
 func (s *Server) history(ctx context.Context, _ *fasthttp.RequestCtx, name string) (any, error) {
-	if _, ok := s.loop.View().Book.Template(name); !ok {
+	if _, ok := s.loop.View().Templates.Template(name); !ok {
 		return nil, unknownWorkspace(name)
 	}
 	cs, err := s.changes.History(ctx, name)
--- a/daemon/peers/client.go
+++ b/daemon/peers/client.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Forget closes the connection to a daemon that has gone.
-func (c *Client) Forget(addr string) {
+// Disconnect closes the connection to a daemon that has gone.
+func (c *Client) Disconnect(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn, ok := c.conns[addr]; ok {
--- a/daemon/peers/convert.go
+++ b/daemon/peers/convert.go
@@ -182,7 +182,7 @@
 	return out, nil
 }
 
-func newsToWire(n control.News) *wire.News {
+func newsToWire(n control.Gossip) *wire.News {
 	return &wire.News{
 		Members:        membersToWire(n.Members),
 		Engines:        enginesToWire(n.Engines),
@@ -190,8 +190,8 @@
 	}
 }
 
-func newsFromWire(w *wire.News) control.News {
-	return control.News{
+func newsFromWire(w *wire.News) control.Gossip {
+	return control.Gossip{
 		Members:        membersFromWire(w.GetMembers()),
 		Engines:        enginesFromWire(w.GetEngines()),
 		TemplateNumber: w.GetTemplateNumber(),
--- a/daemon/peers/rpc.go
+++ b/daemon/peers/rpc.go
@@ -15,10 +15,10 @@
 )
 
 // Ping exchanges news with a daemon.
-func (c *Client) Ping(ctx context.Context, addr, from, hall string, n control.News) (control.News, error) {
+func (c *Client) Ping(ctx context.Context, addr, from, hall string, n control.Gossip) (control.Gossip, error) {
 	p, err := c.peer(addr)
 	if err != nil {
-		return control.News{}, err
+		return control.Gossip{}, err
 	}
 	r, err := p.Ping(ctx, &wire.PingRequest{From: from, Hall: hall, News: newsToWire(n)})
 	return newsFromWire(r.GetNews()), err
@@ -34,19 +34,19 @@
 	return err
 }
 
-// Compare asks a daemon whether its records have the same digest. If not, it
+// CompareDigest asks a daemon whether its records have the same digest. If not, it
 // returns all that the daemon has.
-func (c *Client) Compare(ctx context.Context, addr, from string, digest uint64) (control.News, bool, error) {
+func (c *Client) CompareDigest(ctx context.Context, addr, from string, digest uint64) (control.Gossip, bool, error) {
 	p, err := c.peer(addr)
 	if err != nil {
-		return control.News{}, false, err
+		return control.Gossip{}, false, err
 	}
 	r, err := p.Sync(ctx, &wire.SyncRequest{From: from, Digest: digest})
 	return newsFromWire(r.GetNews()), r.GetSame(), err
 }
 
-// Tell gives a daemon all records.
-func (c *Client) Tell(ctx context.Context, addr, from string, n control.News) error {
+// PushRecords gives a daemon all records.
+func (c *Client) PushRecords(ctx context.Context, addr, from string, n control.Gossip) error {
 	p, err := c.peer(addr)
 	if err != nil {
 		return err
--- a/daemon/peers/server.go
+++ b/daemon/peers/server.go
@@ -92,9 +92,9 @@
 
 // Ping implements the heartbeat.
 func (s *Server) Ping(ctx context.Context, r *wire.PingRequest) (*wire.PingReply, error) {
-	n, ok := control.Ask(ctx, s.loop, func(st *control.State) control.News {
-		st.Take(newsFromWire(r.GetNews()))
-		return st.News()
+	n, ok := control.Ask(ctx, s.loop, func(st *control.State) control.Gossip {
+		st.MergeGossip(newsFromWire(r.GetNews()))
+		return st.NextGossip()
 	})
 	if !ok {
 		return nil, errStopped
@@ -105,7 +105,7 @@
 // PingVia pings another daemon for the caller.
 func (s *Server) PingVia(ctx context.Context, r *wire.PingViaRequest) (*wire.PingReply, error) {
 	v := s.loop.View()
-	n, err := s.client.Ping(ctx, r.GetTarget(), v.Self.Addr, v.Self.Hall, control.News{TemplateNumber: v.Book.Number()})
+	n, err := s.client.Ping(ctx, r.GetTarget(), v.Self.Addr, v.Self.Hall, control.Gossip{TemplateNumber: v.Templates.Number()})
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
@@ -117,13 +117,13 @@
 func (s *Server) Sync(ctx context.Context, r *wire.SyncRequest) (*wire.SyncReply, error) {
 	reply, ok := control.Ask(ctx, s.loop, func(st *control.State) *wire.SyncReply {
 		if r.GetNews() != nil {
-			st.Take(newsFromWire(r.GetNews()))
-			return &wire.SyncReply{News: newsToWire(control.News{})}
+			st.MergeGossip(newsFromWire(r.GetNews()))
+			return &wire.SyncReply{News: newsToWire(control.Gossip{})}
 		}
 		if st.Digest() == r.GetDigest() {
-			return &wire.SyncReply{News: newsToWire(control.News{}), Same: true}
+			return &wire.SyncReply{News: newsToWire(control.Gossip{}), Same: true}
 		}
-		return &wire.SyncReply{News: newsToWire(st.All())}
+		return &wire.SyncReply{News: newsToWire(st.AllRecords())}
 	})
 	if !ok {
 		return nil, errStopped
@@ -134,13 +134,13 @@
 // Changes returns recent changes, or the whole book.
 func (s *Server) Changes(_ context.Context, r *wire.ChangesRequest) (*wire.ChangesReply, error) {
 	v := s.loop.View()
-	b := v.Book
+	b := v.Templates
 	reply := &wire.ChangesReply{Number: b.Number()}
 	if b.Number() <= r.GetAfter() {
 		return reply, nil
 	}
 	var err error
-	if cs, ok := v.Recent.After(r.GetAfter()); ok {
+	if cs, ok := v.RecentChanges.After(r.GetAfter()); ok {
 		reply.Changes, err = changesToWire(cs)
 		return reply, err
 	}
@@ -173,7 +173,7 @@
 func (s *Server) Finish(_ context.Context, r *wire.FinishRequest) (*wire.FinishReply, error) {
 	first := time.Duration(r.GetFirstTokenMs()) * time.Millisecond
 	s.loop.Post(func(st *control.State) {
-		st.Finished(r.GetAttempt(), r.GetAddr(), first, r.GetFailed())
+		st.FinishAttempt(r.GetAttempt(), r.GetAddr(), first, r.GetFailed())
 	})
 	return &wire.FinishReply{}, nil
 }
--- a/daemon/peers/suspects.go
+++ b/daemon/peers/suspects.go
@@ -47,8 +47,8 @@
 	return func(s *Server) { s.suspects = f }
 }
 
-// TellSuspects tells another daemon of requests under which engines ended.
-func (c *Client) TellSuspects(ctx context.Context, addr string, rs []quarantine.Record) error {
+// SendSuspects tells another daemon of requests under which engines ended.
+func (c *Client) SendSuspects(ctx context.Context, addr string, rs []quarantine.Record) error {
 	conn, err := c.conn(addr)
 	if err != nil {
 		return err
--- a/daemon/upkeep/demand_test.go
+++ b/daemon/upkeep/demand_test.go
@@ -40,7 +40,7 @@
 	for range 2 { // the view is out once a second function has run
 		l.Do(ctx, func(s *control.State) {
 			s.MergeMembers([]member.Member{{Addr: silent.Addr().String(), Hall: "oslo-a", Incarnation: 1}})
-			s.Asked(till, 1000)
+			s.CountRequest(till, 1000)
 		})
 	}
 	client := peers.NewClient()
--- a/daemon/upkeep/engines.go
+++ b/daemon/upkeep/engines.go
@@ -19,7 +19,7 @@
 	for _, o := range due {
 		poll := func() {
 			p := u.poll(ctx, o)
-			u.loop.Post(func(s *control.State) { s.TakePoll(p) })
+			u.loop.Post(func(s *control.State) { s.ApplyPoll(p) })
 		}
 		if u.pool.Submit(poll) != nil { // the pool is full
 			poll()
@@ -27,10 +27,10 @@
 	}
 }
 
-func (u *Upkeep) poll(ctx context.Context, o control.EnginePoll) control.Poll {
+func (u *Upkeep) poll(ctx context.Context, o control.PollTarget) control.PollResult {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	p := control.Poll{Addr: o.Addr, Resync: o.Resync}
+	p := control.PollResult{Addr: o.Addr, Resync: o.Resync}
 	p.Report, p.Err = u.engines.Report(ctx, o.Addr)
 	if p.Err != nil || (!o.Resync && p.Report.EventNumber <= o.After) {
 		return p
--- a/daemon/upkeep/lease.go
+++ b/daemon/upkeep/lease.go
@@ -31,7 +31,7 @@
 }
 
 func (u *Upkeep) saveSnapshot(ctx context.Context) {
-	b := u.loop.View().Book
+	b := u.loop.View().Templates
 	if b.Number() < u.saved+snapshotEvery {
 		return
 	}
--- a/daemon/upkeep/members.go
+++ b/daemon/upkeep/members.go
@@ -21,7 +21,7 @@
 	// ping is one heartbeat, to a daemon, with what rides on it.
 	ping struct {
 		target string
-		news   control.News
+		news   control.Gossip
 	}
 
 	// comparison is the daemons to compare records with, by their digest.
@@ -42,8 +42,8 @@
 	if u.ping(ctx, target, next.news) || u.pingVia(ctx, target) {
 		return
 	}
-	u.peers.Forget(target)
-	u.loop.Post(func(s *control.State) { s.Silent(target) })
+	u.peers.Disconnect(target)
+	u.loop.Post(func(s *control.State) { s.PingFailed(target) })
 }
 
 // nextPing moves the time of the state on, and returns the next heartbeat; it
@@ -54,7 +54,7 @@
 	if t == "" {
 		return ping{}
 	}
-	return ping{target: t, news: s.News()}
+	return ping{target: t, news: s.NextGossip()}
 }
 
 // nextTarget returns the next daemon of the hall, and now and then one of
@@ -71,7 +71,7 @@
 	return t
 }
 
-func (u *Upkeep) ping(ctx context.Context, target string, n control.News) bool {
+func (u *Upkeep) ping(ctx context.Context, target string, n control.Gossip) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	self := u.loop.View().Self
@@ -79,7 +79,7 @@
 	if err != nil {
 		return false
 	}
-	u.loop.Post(func(s *control.State) { s.Take(got) })
+	u.loop.Post(func(s *control.State) { s.MergeGossip(got) })
 	return true
 }
 
@@ -101,7 +101,7 @@
 func (u *Upkeep) syncMembers(ctx context.Context) {
 	next, _ := control.Ask(ctx, u.loop, func(s *control.State) comparison {
 		targets := s.Members().RandomAlive(1, s.Random(), func(member.Member) bool { return true })
-		return comparison{targets: append(targets, s.Strangers(u.bootstrap)...), digest: s.Digest()}
+		return comparison{targets: append(targets, s.UnknownDaemons(u.bootstrap)...), digest: s.Digest()}
 	})
 	for _, t := range next.targets {
 		u.syncWith(ctx, t, next.digest)
@@ -120,29 +120,29 @@
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	self := u.loop.View().Self.Addr
-	got, same, err := u.peers.Compare(ctx, target, self, digest)
+	got, same, err := u.peers.CompareDigest(ctx, target, self, digest)
 	if err != nil {
 		return
 	}
 	if same {
-		u.loop.Post(func(s *control.State) { s.Known() })
+		u.loop.Post(func(s *control.State) { s.PeerInSync() })
 		return
 	}
-	all, ok := control.Ask(ctx, u.loop, func(s *control.State) control.News {
-		s.Take(got)
-		return s.All()
+	all, ok := control.Ask(ctx, u.loop, func(s *control.State) control.Gossip {
+		s.MergeGossip(got)
+		return s.AllRecords()
 	})
 	if !ok {
 		return
 	}
-	_ = u.peers.Tell(ctx, target, self, all) // the next sync makes up for a lost one
+	_ = u.peers.PushRecords(ctx, target, self, all) // the next sync makes up for a lost one
 }
 
 // readHosts reads the platform's host list.
 func (u *Upkeep) readHosts(ctx context.Context) {
 	hs, changed, err := u.hosts.List(ctx)
 	u.loop.Post(func(s *control.State) {
-		s.PlatformAnswered(err == nil)
+		s.SetPlatformReachable(err == nil)
 		if changed {
 			s.SetHosts(hs)
 		}
--- a/daemon/upkeep/orders.go
+++ b/daemon/upkeep/orders.go
@@ -39,7 +39,7 @@
 func (u *Upkeep) place(ctx context.Context) {
 	held, ok := u.lease.Held(boottime.Time())
 	v := u.loop.View()
-	if !ok || v.Book.Number() == 0 {
+	if !ok || v.Templates.Number() == 0 {
 		return
 	}
 	engines := u.placeable(v)
@@ -55,7 +55,7 @@
 // named returns the copies that templates name, by how many workspaces do.
 func named(v *control.View) map[directory.Copy]int {
 	out := map[directory.Copy]int{}
-	for _, t := range v.Book.Templates() {
+	for _, t := range v.Templates.Templates() {
 		for _, m := range t.Models {
 			out[directory.Copy{Model: m.Name, Version: m.Version}]++
 		}
@@ -74,7 +74,7 @@
 	if !ok {
 		return u.demand
 	}
-	others := slices.DeleteFunc(slices.Clone(v.Live(v.Self.Hall)), func(a string) bool { return a == v.Self.Addr })
+	others := slices.DeleteFunc(slices.Clone(v.LiveDaemons(v.Self.Hall)), func(a string) bool { return a == v.Self.Addr })
 	answers := make([]placement.Demand, len(others))
 	ctx, cancel := context.WithTimeout(ctx, demandTime)
 	defer cancel()
--- a/daemon/upkeep/silent_test.go
+++ b/daemon/upkeep/silent_test.go
@@ -56,12 +56,12 @@
 	go l.Run(ctx)
 	l.Do(ctx, func(s *control.State) {
 		s.MergeMembers([]member.Member{{Addr: listener.Addr().String(), Hall: "oslo-a", Incarnation: 1}})
-		s.HearNumber(1)
+		s.ObserveTemplateNumber(1)
 	})
 	client := peers.NewClient()
 	defer client.Close()
 	New(l, client, WithChanges(changes.New(silent))).readTemplates(ctx)
-	if n := l.View().Book.Number(); n != 1 {
+	if n := l.View().Templates.Number(); n != 1 {
 		t.Errorf("the daemon is at change %d, want 1: another daemon has it", n)
 	}
 	if !l.View().PlatformDown {
--- a/daemon/upkeep/start.go
+++ b/daemon/upkeep/start.go
@@ -39,7 +39,7 @@
 			before = before[1:]
 			continue
 		}
-		if u.loop.View().Book.Number() >= number {
+		if u.loop.View().Templates.Number() >= number {
 			return true
 		}
 		if pause.UpTo(ctx, startPause) != nil {
--- a/daemon/upkeep/templates.go
+++ b/daemon/upkeep/templates.go
@@ -23,21 +23,21 @@
 // was heard from other daemons takes the place of the head.
 func (u *Upkeep) readTemplates(ctx context.Context) {
 	limit := 2 * templateTimeout
-	if u.loop.View().Book.Number() == 0 {
+	if u.loop.View().Templates.Number() == 0 {
 		limit = startTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	if heard, _ := control.Ask(ctx, u.loop, (*control.State).Heard); heard > u.loop.View().Book.Number() {
+	if heard, _ := control.Ask(ctx, u.loop, (*control.State).LatestTemplateNumber); heard > u.loop.View().Templates.Number() {
 		u.fetchFromPeers(ctx, heard) // first, since the platform may be silent
 	}
 	head, err := u.head(ctx)
 	heard, _ := control.Ask(ctx, u.loop, func(s *control.State) uint64 {
-		s.PlatformAnswered(err == nil)
-		s.HearNumber(head)
-		return s.Heard()
+		s.SetPlatformReachable(err == nil)
+		s.ObserveTemplateNumber(head)
+		return s.LatestTemplateNumber()
 	})
-	known := u.loop.View().Book.Number()
+	known := u.loop.View().Templates.Number()
 	if heard <= known {
 		return
 	}
@@ -65,7 +65,7 @@
 	from := u.others(ctx, askPeers, func(member.Member) bool { return true })
 	for _, f := range from {
 		_ = u.fetchFrom(ctx, f) // the next may have it
-		if u.loop.View().Book.Number() >= number {
+		if u.loop.View().Templates.Number() >= number {
 			return true
 		}
 	}
@@ -74,7 +74,7 @@
 
 // fetchFrom takes what one daemon has.
 func (u *Upkeep) fetchFrom(ctx context.Context, addr string) error {
-	up, err := u.peers.Changes(ctx, addr, u.loop.View().Book.Number())
+	up, err := u.peers.Changes(ctx, addr, u.loop.View().Templates.Number())
 	if err == nil {
 		u.move(ctx, up)
 	}
@@ -84,10 +84,10 @@
 // fetchFromPlatform reads pages of changes. A daemon that has nothing yet, or
 // that lags behind the start of the log, begins with the stored snapshot.
 func (u *Upkeep) fetchFromPlatform(ctx context.Context, number uint64) {
-	if u.loop.View().Book.Number() == 0 {
+	if u.loop.View().Templates.Number() == 0 {
 		u.loadSnapshot(ctx)
 	}
-	for before := u.loop.View().Book.Number(); before < number; {
+	for before := u.loop.View().Templates.Number(); before < number; {
 		cs, err := u.changes.After(ctx, before)
 		if err != nil {
 			return
@@ -97,7 +97,7 @@
 		} else {
 			u.move(ctx, template.Update{Changes: cs})
 		}
-		after := u.loop.View().Book.Number()
+		after := u.loop.View().Templates.Number()
 		if after == before {
 			return // nothing there yet
 		}
@@ -107,7 +107,7 @@
 
 func (u *Upkeep) loadSnapshot(ctx context.Context) {
 	b, err := u.changes.LoadSnapshot(ctx)
-	if err != nil || b.Number() <= u.loop.View().Book.Number() {
+	if err != nil || b.Number() <= u.loop.View().Templates.Number() {
 		return
 	}
 	event.SnapshotLoaded.Info("number", b.Number())
@@ -116,6 +116,6 @@
 
 // move puts an update in force and waits until traffic sees it.
 func (u *Upkeep) move(ctx context.Context, up template.Update) {
-	u.loop.Do(ctx, func(s *control.State) { s.MoveBook(up) })
+	u.loop.Do(ctx, func(s *control.State) { s.UpdateTemplates(up) })
 	u.loop.Do(ctx, func(*control.State) {}) // the view is out once this has run
 }
--- a/daemon/upkeep/templates_test.go
+++ b/daemon/upkeep/templates_test.go
@@ -47,7 +47,7 @@
 			u := New(l, nil, WithChanges(log))
 			u.move(ctx, template.Update{Changes: cs[:known]})
 			u.fetchFromPlatform(ctx, accepted)
-			if b := l.View().Book; b.Number() != accepted || len(b.Templates()) != accepted {
+			if b := l.View().Templates; b.Number() != accepted || len(b.Templates()) != accepted {
 				t.Errorf("the daemon is at %d with %d templates, want %d", b.Number(), len(b.Templates()), accepted)
 			}
 		})
