--- a/daemon/control/gone_test.go
+++ b/daemon/control/engine_test.go
@@ -13,17 +13,17 @@
 	"slipcrank.example/daemon/control"
 )
 
-const gone = "127.0.0.1:9000"
+const engineAddr = "127.0.0.1:9000"
 
-// clocked is a loop on a clock that the test moves.
-type clocked struct {
+// testLoop is a loop whose clock is set by the test.
+type testLoop struct {
 	t    *testing.T
 	now  time.Time
 	loop *control.Loop
 }
 
-func newClocked(t *testing.T, addr string) *clocked {
-	c := &clocked{t: t, now: time.Unix(1_000_000, 0)}
+func newTestLoop(t *testing.T, addr string) *testLoop {
+	c := &testLoop{t: t, now: time.Unix(1_000_000, 0)}
 	self := member.Member{Addr: addr, Hall: "oslo-a", Incarnation: 1}
 	c.loop = control.New(self, control.WithClock(func() time.Time { return c.now }))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -32,15 +32,15 @@
 	return c
 }
 
-func (c *clocked) do(f func(*control.State)) {
+func (c *testLoop) do(f func(*control.State)) {
 	c.t.Helper()
 	if !c.loop.Do(context.Background(), f) {
 		c.t.Fatal("the loop has ended")
 	}
 }
 
-// poll polls all owned engines with one outcome and returns how many there were.
-func (c *clocked) poll(err error) int {
+// poll applies the same poll result to all due engines and returns their number.
+func (c *testLoop) poll(err error) int {
 	c.t.Helper()
 	polls := 0
 	c.do(func(s *control.State) {
@@ -53,57 +53,60 @@
 	return polls
 }
 
-func TestEngineGoneForGoodIsForgotten(t *testing.T) {
-	silent := errors.New("no answer")
+// TestDownEngineIsRemoved checks that an engine that stays down is removed from
+// the directory, and is polled further only while the host list has it.
+func TestDownEngineIsRemoved(t *testing.T) {
+	errNoAnswer := errors.New("no answer")
 	for name, tc := range map[string]struct {
-		listed bool // whether the host list still has it
+		listed bool // in the host list
 		polls  int
 	}{
-		"gone from the list":           {listed: false, polls: 0},
-		"listed, and may come back up": {listed: true, polls: 1},
+		"not in the host list": {listed: false, polls: 0},
+		"in the host list":     {listed: true, polls: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newClocked(t, "127.0.0.1:7000")
-			list := []hosts.Host{{Addr: gone, Hall: "oslo-a", Role: hosts.Engine}}
+			c := newTestLoop(t, "127.0.0.1:7000")
+			list := []hosts.Host{{Addr: engineAddr, Hall: "oslo-a", Role: hosts.Engine}}
 			c.do(func(s *control.State) { s.SetHosts(list) })
 			c.poll(nil)
 			if e := c.loop.View().Engines; len(e) != 1 || e[0].Status != directory.Up {
-				t.Fatalf("the engine is not up: %v", e)
+				t.Fatalf("the directory has %v, want one engine that is up", e)
 			}
 			if !tc.listed {
 				c.do(func(s *control.State) { s.SetHosts(nil) })
 			}
-			c.poll(silent)
-			c.poll(silent)
+			c.poll(errNoAnswer)
+			c.poll(errNoAnswer)
 			var record directory.Engine
 			if es := c.loop.View().Engines; len(es) == 1 {
 				record = es[0]
 			}
 			if record.Status != directory.Down {
-				t.Fatalf("a silent engine is %v", record.Status)
+				t.Fatalf("after two failed polls the engine is %v, want it down", record.Status)
 			}
 			c.now = c.now.Add(directory.DownLife)
-			c.poll(silent)
-			// A daemon that forgets later goes on telling of it.
+			c.poll(errNoAnswer)
+			// Daemons that remove the engine later still send its record.
 			c.do(func(s *control.State) { s.MergeEngines([]directory.Engine{record}) })
 			if es := c.loop.View().Engines; len(es) != 0 {
-				t.Errorf("after %v down the directory has %v", directory.DownLife, es)
+				t.Errorf("after %v down the directory still has %v", directory.DownLife, es)
 			}
-			if n := c.poll(silent); n != tc.polls {
-				t.Errorf("%d engines are polled, want %d", n, tc.polls)
+			if n := c.poll(errNoAnswer); n != tc.polls {
+				t.Errorf("%d engines were polled, want %d", n, tc.polls)
 			}
 			if es := c.loop.View().Engines; len(es) != 0 {
-				t.Errorf("a poll without an answer brought back %v", es)
+				t.Errorf("a failed poll added %v to the directory", es)
 			}
 		})
 	}
 }
 
-// TestForgottenEngineComesBack lets one daemon forget an engine sooner than
-// another, which still has it as down under a higher revision.
-func TestForgottenEngineComesBack(t *testing.T) {
-	silent := errors.New("no answer")
-	owner, other := newClocked(t, "127.0.0.1:7000"), newClocked(t, "127.0.0.1:7001")
+// TestRemovedEngineReturns checks that an engine that comes up again after its
+// owner has removed its record is up on all daemons. Another daemon still has
+// the engine as down, under a revision above that of the owner's new record.
+func TestRemovedEngineReturns(t *testing.T) {
+	errNoAnswer := errors.New("no answer")
+	owner, other := newTestLoop(t, "127.0.0.1:7000"), newTestLoop(t, "127.0.0.1:7001")
 	exchange := func() {
 		var a, b control.Gossip
 		owner.do(func(s *control.State) { a = s.AllRecords() })
@@ -112,25 +115,25 @@
 		other.do(func(s *control.State) { s.MergeEngines(a.Engines) })
 	}
 	owner.do(func(s *control.State) {
-		s.SetHosts([]hosts.Host{{Addr: gone, Hall: "oslo-a", Role: hosts.Engine}})
+		s.SetHosts([]hosts.Host{{Addr: engineAddr, Hall: "oslo-a", Role: hosts.Engine}})
 	})
 	owner.poll(nil)
 	exchange()
 	for range 3 {
-		owner.poll(silent)
+		owner.poll(errNoAnswer)
 	}
 	exchange()
 	owner.now = owner.now.Add(directory.DownLife)
-	owner.poll(silent)
-	owner.poll(nil) // up again, in the same life
+	owner.poll(errNoAnswer)
+	owner.poll(nil) // up again, with the same incarnation
 	for range 3 {
 		exchange()
 		owner.poll(nil)
 	}
 	exchange()
-	for name, c := range map[string]*clocked{"owner": owner, "other": other} {
+	for name, c := range map[string]*testLoop{"owner": owner, "other": other} {
 		if es := c.loop.View().Engines; len(es) != 1 || es[0].Status != directory.Up {
-			t.Errorf("the %s has %v, want the engine up", name, es)
+			t.Errorf("the directory of the %s has %v, want one engine that is up", name, es)
 		}
 	}
 }
--- a/daemon/control/engineset.go
+++ b/daemon/control/engineset.go
@@ -11,80 +11,82 @@
 	"slipcrank.example/core/directory"
 )
 
-// ringPoints is how many points an engine has on its group's ring.
-const ringPoints = 8
+// pointsPerEngine is the number of points of each engine on a hash ring.
+const pointsPerEngine = 8
 
 type (
 	// EngineSet is the immutable list of the engines that are up and hold one
-	// model in one version, in the daemon's own hall or in the others.
+	// version of a model, either in the daemon's own hall or in all other
+	// halls. A nil set has no engines.
 	EngineSet struct {
 		engines []Candidate
-		ring    []point
+		ring    []ringPoint
 	}
 
-	// Candidate is one engine that a request may go to.
+	// Candidate is an engine that a request may be sent to.
 	Candidate struct {
 		Addr  string
-		Owner string // the daemon that owns it
+		Owner string // address of the daemon that owns it
 	}
 
-	point struct {
-		at     uint64
+	ringPoint struct {
+		hash   uint64
 		engine int
 	}
 
-	groupKey struct {
-		home           bool
+	engineSetKey struct {
+		local          bool
 		model, version string
 	}
 )
 
 // Len returns the number of engines.
-func (g *EngineSet) Len() int {
-	if g == nil {
+func (s *EngineSet) Len() int {
+	if s == nil {
 		return 0
 	}
-	return len(g.engines)
+	return len(s.engines)
 }
 
 // At returns the engine with index i.
-func (g *EngineSet) At(i int) Candidate { return g.engines[i] }
+func (s *EngineSet) At(i int) Candidate { return s.engines[i] }
 
-// ByHash returns the index of the engine that a prefix is hashed to. When an
-// engine goes or comes, only the prefixes that were or will be its own move.
-func (g *EngineSet) ByHash(prefix uint64) int {
-	i := sort.Search(len(g.ring), func(i int) bool { return g.ring[i].at >= prefix })
-	if i == len(g.ring) {
+// ByHash returns the index of the engine to which the hash of a prefix maps on
+// a consistent-hash ring: when an engine joins or leaves, only the prefixes
+// that map to that engine are remapped.
+func (s *EngineSet) ByHash(prefix uint64) int {
+	i := sort.Search(len(s.ring), func(i int) bool { return s.ring[i].hash >= prefix })
+	if i == len(s.ring) {
 		i = 0
 	}
-	return g.ring[i].engine
+	return s.ring[i].engine
 }
 
-// newGroups builds the groups of all models.
-func newGroups(v *View) map[groupKey]*EngineSet {
-	out := map[groupKey]*EngineSet{}
+// newEngineSets builds the sets of all models and versions.
+func newEngineSets(v *View) map[engineSetKey]*EngineSet {
+	out := map[engineSetKey]*EngineSet{}
 	for _, e := range v.Engines {
 		if e.Status != directory.Up {
 			continue
 		}
 		for _, c := range e.Copies {
-			k := groupKey{home: e.Hall == v.Self.Hall, model: c.Model, version: c.Version}
+			k := engineSetKey{local: e.Hall == v.Self.Hall, model: c.Model, version: c.Version}
 			if out[k] == nil {
 				out[k] = &EngineSet{}
 			}
 			out[k].add(Candidate{Addr: e.Addr, Owner: v.owners[e.Addr]})
 		}
 	}
-	for _, g := range out {
-		slices.SortFunc(g.ring, func(a, b point) int { return cmp.Compare(a.at, b.at) })
+	for _, s := range out {
+		slices.SortFunc(s.ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
 	}
 	return out
 }
 
-func (g *EngineSet) add(c Candidate) {
-	n := len(g.engines)
-	g.engines = append(g.engines, c)
-	for i := range ringPoints {
-		g.ring = append(g.ring, point{at: xxhash.Sum64String(c.Addr + "/" + strconv.Itoa(i)), engine: n})
+func (s *EngineSet) add(c Candidate) {
+	n := len(s.engines)
+	s.engines = append(s.engines, c)
+	for i := range pointsPerEngine {
+		s.ring = append(s.ring, ringPoint{hash: xxhash.Sum64String(c.Addr + "/" + strconv.Itoa(i)), engine: n})
 	}
 }
--- a/daemon/control/loop.go
+++ b/daemon/control/loop.go
@@ -1,10 +1,11 @@
-// Package control owns a daemon's control state: members, engines, ledgers of
-// the engines that it owns, templates, and what it knows of the platform.
+// Package control owns a daemon's control state: the membership list, the
+// directory of engines, the load trackers of the engines that the daemon owns,
+// the templates, and the state of the platform.
 //
-// One goroutine, [Loop.Run], owns the [State]. Others reach it with
-// [Loop.Do] and [Loop.Post], which run a short function there. Traffic reads
-// the immutable [View] that the goroutine publishes after each change, and
-// takes no lock.
+// One goroutine, [Loop.Run], owns the [State]. Other goroutines access it with
+// [Loop.Do], [Loop.Post] and [Ask], which run a short function on that
+// goroutine. Request handling reads the immutable [View] that the goroutine
+// publishes after each change, without taking a lock.
 //
 // # Usage
 //
@@ -28,35 +29,35 @@
 	"slipcrank.example/core/template"
 )
 
-const inboxLength = 1024
+const inboxCapacity = 1024
 
 type (
 	// Loop runs the goroutine that owns the control state.
 	Loop struct {
-		inbox chan work
+		inbox chan task
 		done  chan struct{}
 		view  atomic.Pointer[View]
 		state *State
 	}
 
-	// work is a function to run on the owning goroutine, and what to do once
-	// its view is out; done may be nil.
-	work struct {
+	// task is a function to run on the owning goroutine. Done, unless nil, is
+	// called after the view that results from run has been published.
+	task struct {
 		run  func(*State)
 		done func()
 	}
 
-	// placedReply is what became of a placement.
-	placedReply struct {
+	// placeReply is the result of State.place.
+	placeReply struct {
 		now route.Offer
 		ok  bool
 	}
 
-	// Option changes a loop under construction.
+	// Option configures a Loop during construction.
 	Option func(*State)
 )
 
-// WithClock sets the clock.
+// WithClock sets the clock, time.Now by default.
 func WithClock(f func() time.Time) Option { return func(s *State) { s.now = f } }
 
 // WithRandom sets the source of random numbers.
@@ -68,19 +69,19 @@
 // New returns the loop of the daemon self.
 func New(self member.Member, os ...Option) *Loop {
 	s := &State{
-		now:     time.Now,
-		random:  rand.New(rand.NewPCG(self.Incarnation, uint64(len(self.Addr)))),
-		members: member.New(self),
-		engines: directory.New(),
-		owned:   map[string]*ownedEngine{},
-		book:    template.NewSet(),
-		dirty:   true,
+		now:       time.Now,
+		random:    rand.New(rand.NewPCG(self.Incarnation, uint64(len(self.Addr)))),
+		members:   member.New(self),
+		engines:   directory.New(),
+		owned:     map[string]*ownedEngine{},
+		templates: template.NewSet(),
+		dirty:     true,
 	}
 	for _, o := range os {
 		o(s)
 	}
 	s.demand = placement.NewMeter(s.now())
-	l := &Loop{inbox: make(chan work, inboxLength), done: make(chan struct{}), state: s}
+	l := &Loop{inbox: make(chan task, inboxCapacity), done: make(chan struct{}), state: s}
 	l.publish()
 	return l
 }
@@ -113,17 +114,19 @@
 // View returns the newest view. It is immutable.
 func (l *Loop) View() *View { return l.view.Load() }
 
-// Post runs f on the owning goroutine, some time later.
+// Post queues f to run on the owning goroutine and does not wait for it. Post
+// blocks while the queue is full. After the loop has ended, f may be dropped.
 func (l *Loop) Post(f func(*State)) {
 	select {
-	case l.inbox <- work{run: f}:
+	case l.inbox <- task{run: f}:
 	case <-l.done:
 	}
 }
 
-// Do runs f on the owning goroutine and waits for it. It reports false if the
-// loop has ended or ctx ends first; f may then still run, later. So f must not
-// write to variables of its caller: [Ask] brings results back.
+// Do runs f on the owning goroutine and returns once the resulting view has
+// been published. Do returns false if the loop or ctx ends first; f may then
+// still run later, so f must not write to variables of the caller. Use [Ask]
+// to return a result.
 func (l *Loop) Do(ctx context.Context, f func(*State)) bool {
 	_, ok := Ask(ctx, l, func(s *State) struct{} {
 		f(s)
@@ -132,15 +135,15 @@
 	return ok
 }
 
-// Ask runs f on the owning goroutine and returns its result once the view that
-// f leads to is out: an operator who was told that a change is in force reads
-// it with the next command. It reports false, with no result, if the loop has
-// ended or ctx ends first.
+// Ask runs f on the owning goroutine and returns its result once the resulting
+// view has been published. So an operator whose change is reported as in force
+// sees the change with the next command. Ask returns the zero value and false
+// if the loop or ctx ends first.
 func Ask[T any](ctx context.Context, l *Loop, f func(*State) T) (T, bool) {
 	var none T
 	var answer T // written and read on the owning goroutine only
 	result := make(chan T, 1)
-	w := work{
+	w := task{
 		run:  func(s *State) { answer = f(s) },
 		done: func() { result <- answer },
 	}
@@ -161,23 +164,25 @@
 	}
 }
 
-// Offers returns the predictions of the engines that this daemon owns.
+// Offers returns the offers for p of the engines that this daemon owns.
 func (l *Loop) Offers(ctx context.Context, p route.Prompt) []route.Offer {
 	os, _ := Ask(ctx, l, func(s *State) []route.Offer { return s.offers(p) })
 	return os
 }
 
-// Place records a placement on an engine that this daemon owns. It reports
-// false, with the present offer, if that is much worse than was expected.
+// Place records the placement of an attempt on an engine that this daemon owns.
+// Place refuses it, and returns the engine's current offer and false, if that
+// offer is much worse than o. If the engine is not owned, not up or has
+// restarted, the returned offer is empty.
 func (l *Loop) Place(ctx context.Context, attempt string, o route.Offer, p route.Prompt) (route.Offer, bool) {
-	r, _ := Ask(ctx, l, func(s *State) placedReply {
+	r, _ := Ask(ctx, l, func(s *State) placeReply {
 		now, ok := s.place(attempt, o, p)
-		return placedReply{now, ok}
+		return placeReply{now, ok}
 	})
 	return r.now, r.ok
 }
 
-// AwaitGroup is [State.AwaitGroup], for an engine that this daemon owns.
+// AwaitGroup runs [State.AwaitGroup] on the owning goroutine.
 func (l *Loop) AwaitGroup(ctx context.Context, addr, id string, priority int64, leave bool) group.WaitStatus {
 	t, _ := Ask(ctx, l, func(s *State) group.WaitStatus { return s.AwaitGroup(addr, id, priority, leave) })
 	return t
--- a/daemon/control/loop_test.go
+++ b/daemon/control/loop_test.go
@@ -9,9 +9,10 @@
 	"slipcrank.example/daemon/control"
 )
 
-// What an operator was told is in force must be what the next command reads.
-func TestViewIsOutWhenDoReturns(t *testing.T) {
-	c := newClocked(t, "127.0.0.1:1")
+// A change that was reported to an operator as in force must be visible to the
+// next command.
+func TestDoReturnsAfterViewIsPublished(t *testing.T) {
+	c := newTestLoop(t, "127.0.0.1:1")
 	const changes = 2000
 	for n := uint64(1); n <= changes; n++ {
 		x := template.Change{Number: n, Template: template.Template{Workspace: "till", Version: n}}
@@ -19,13 +20,13 @@
 			s.UpdateTemplates(template.Update{Changes: []template.Change{x}})
 		})
 		if got := c.loop.View().Templates.Number(); got != n {
-			t.Fatalf("change %d is in force, the view has %d", n, got)
+			t.Fatalf("change %d was applied, but the view is at change %d", n, got)
 		}
 	}
 }
 
-func TestAskAnswersAfterTheView(t *testing.T) {
-	c := newClocked(t, "127.0.0.1:1")
+func TestAskReturnsAfterViewIsPublished(t *testing.T) {
+	c := newTestLoop(t, "127.0.0.1:1")
 	const hosts = 370
 	for n := uint64(1); n <= hosts; n++ {
 		m := member.Member{Addr: string(rune('a'+n%26)) + string(rune('a'+n/26)), Hall: "oslo-b", Incarnation: n}
@@ -34,7 +35,7 @@
 			return len(s.Members().All())
 		})
 		if got := len(c.loop.View().Members); got != want {
-			t.Fatalf("the state has %d members, the view %d", want, got)
+			t.Fatalf("the state has %d members, but the view has %d", want, got)
 		}
 	}
 }
--- a/daemon/control/owned.go
+++ b/daemon/control/owned.go
@@ -15,46 +15,48 @@
 )
 
 const (
-	// downAfter is how many polls in a row may fail before an engine counts
-	// as down.
-	downAfter = 2
-	// worse is the factor, and slack the time, by which an offer may have
-	// become worse before a placement is refused.
-	worse = 1.5
-	slack = 50 * time.Millisecond
+	// maxFailedPolls is the number of consecutive failed polls at which an
+	// engine counts as down.
+	maxFailedPolls = 2
+	// A placement is refused if the predicted time to first token exceeds that
+	// of the original offer times maxOfferFactor plus maxOfferExcess.
+	maxOfferFactor = 1.5
+	maxOfferExcess = 50 * time.Millisecond
 )
 
-// ownedEngine is what this daemon, as its owner, knows of one engine.
+// ownedEngine is the state of one engine that this daemon owns.
 type ownedEngine struct {
-	record  directory.Engine
-	load    *route.LoadTracker
-	health  route.Health
-	groups  *group.Queue
-	known   bool // a report has been seen
-	missed  int  // polls in a row without an answer
-	polling bool
+	record      directory.Engine
+	load        *route.LoadTracker
+	health      route.Health
+	groups      *group.Queue
+	reported    bool // a load report has been received
+	failedPolls int  // in a row
+	polling     bool
 }
 
-// PollTarget names an engine to be polled, and the cache events known of it.
+// PollTarget is an engine to poll, and the position from which to read its
+// cache events.
 type PollTarget struct {
 	Addr   string
-	After  uint64
-	Resync bool
+	After  uint64 // number of the last cache event received
+	Resync bool   // the complete cache has to be read, not only later events
 }
 
-// PollResult is the outcome of polling an engine.
+// PollResult is the result of polling an engine.
 type PollResult struct {
 	Addr   string
 	Err    error
 	Report engine.Report
-	Page   *engine.EventPage // nil if no events were asked for
+	Page   *engine.EventPage // nil if no events were read
 	Resync bool
 }
 
-// DuePolls brings the list of engines that this daemon owns up to date, and
-// returns those that are not being polled already.
+// DuePolls updates the set of engines that this daemon owns, and returns those
+// that have no poll in progress. It marks them as being polled until
+// [State.ApplyPoll] is called with the result.
 func (s *State) DuePolls() []PollTarget {
-	live := s.liveInHall()
+	live := s.liveHallDaemons()
 	mine := map[string]bool{}
 	for addr, e := range s.hallEngines() {
 		if route.Owner(addr, live) != s.members.Self().Addr {
@@ -80,11 +82,11 @@
 	return out
 }
 
-// OwnedAddrs returns the addresses of the engines that this daemon owns.
+// OwnedAddrs returns the sorted addresses of the engines that this daemon owns.
 func (s *State) OwnedAddrs() []string { return slices.Sorted(maps.Keys(s.owned)) }
 
-// hallEngines returns the engines of this hall, from the host list and from
-// what others have told.
+// hallEngines returns the engines of this hall, by address, from the directory
+// and the host list. An engine that is only in the host list counts as down.
 func (s *State) hallEngines() map[string]directory.Engine {
 	hall := s.members.Self().Hall
 	out := map[string]directory.Engine{}
@@ -101,7 +103,8 @@
 	return out
 }
 
-func (s *State) liveInHall() []string {
+// liveHallDaemons returns the daemons of this hall that are alive or suspected.
+func (s *State) liveHallDaemons() []string {
 	var as []string
 	for _, m := range s.members.All() {
 		if m.Hall == s.members.Self().Hall && (m.Status == member.Alive || m.Status == member.Suspect) {
@@ -111,7 +114,8 @@
 	return as
 }
 
-// ApplyPoll takes the outcome of a poll.
+// ApplyPoll applies the result of a poll to the engine's load tracker, prefix
+// index and record. A result for an engine that is no longer owned is ignored.
 func (s *State) ApplyPoll(p PollResult) {
 	o, ok := s.owned[p.Addr]
 	if !ok {
@@ -119,10 +123,10 @@
 	}
 	o.polling = false
 	if p.Err != nil {
-		s.missed(o)
+		s.pollFailed(o)
 		return
 	}
-	o.missed, o.known = 0, true
+	o.failedPolls, o.reported = 0, true
 	r := p.Report
 	o.load.ApplyReport(route.Load{
 		Taken:       s.now().Add(-r.Age),
@@ -133,7 +137,7 @@
 		Total:       r.TotalTokens,
 	}, s.now())
 	if p.Page != nil {
-		takeEvents(o, p)
+		applyEvents(o, p)
 	}
 	s.observe(o, s.recordOf(o, r))
 }
@@ -150,13 +154,13 @@
 	for _, c := range r.Copies {
 		e.Copies = append(e.Copies, directory.Copy{Model: c.Model, Version: c.Version})
 	}
-	if r.Leaving || s.listedLeaving(e.Addr) {
+	if r.Leaving || s.leavingInHostList(e.Addr) {
 		e.Status = directory.Leaving
 	}
 	return e
 }
 
-func (s *State) listedLeaving(addr string) bool {
+func (s *State) leavingInHostList(addr string) bool {
 	for _, h := range s.hosts {
 		if h.Addr == addr {
 			return h.Leaving
@@ -165,7 +169,7 @@
 	return false
 }
 
-func takeEvents(o *ownedEngine, p PollResult) {
+func applyEvents(o *ownedEngine, p PollResult) {
 	x := o.load.CacheIndex()
 	if p.Resync {
 		if x.LastEvent() > 0 {
@@ -183,15 +187,16 @@
 	}
 }
 
-// missed notes that an engine did not answer.
-func (s *State) missed(o *ownedEngine) {
-	o.missed++
-	if o.missed >= downAfter {
+// pollFailed records a failed poll, and marks the engine as down after
+// maxFailedPolls in a row.
+func (s *State) pollFailed(o *ownedEngine) {
+	o.failedPolls++
+	if o.failedPolls >= maxFailedPolls {
 		s.observe(o, o.record.WithStatus(directory.Down))
 	}
 }
 
-// observe writes what is known of an owned engine into the directory.
+// observe replaces the record of an owned engine and updates the directory.
 func (s *State) observe(o *ownedEngine, e directory.Engine) {
 	before := o.record.Status
 	o.record = e
@@ -212,22 +217,23 @@
 	}
 }
 
-// place records a placement if the offer still holds. That of a group is always
-// recorded: its memory is reserved already.
+// place records a placement if the engine's current offer is not much worse
+// than the offered one. The placement of a group is recorded in any case, since
+// its memory is already reserved.
 func (s *State) place(attempt string, offered route.Offer, p route.Prompt) (route.Offer, bool) {
 	o, ok := s.owned[offered.Addr]
 	if !ok || o.record.Status != directory.Up || o.load.Load().Incarnation != offered.Incarnation {
 		return route.Offer{}, false
 	}
 	now := s.offer(o, p)
-	if !p.Reserved && float64(now.TimeToFirstToken()) > worse*float64(offered.TimeToFirstToken())+float64(slack) {
+	if !p.Reserved && float64(now.TimeToFirstToken()) > maxOfferFactor*float64(offered.TimeToFirstToken())+float64(maxOfferExcess) {
 		return now, false
 	}
 	now.FairnessDelay = o.load.Place(attempt, p, s.now())
 	return now, true
 }
 
-// offer returns the prediction of one owned engine.
+// offer returns the current offer of one owned engine.
 func (s *State) offer(o *ownedEngine, p route.Prompt) route.Offer {
 	x := o.load.Offer(p, s.now())
 	x.Ejected = o.health.Ejected(s.now())
@@ -235,8 +241,10 @@
 	return x
 }
 
-// AwaitGroup notes that a group waits for the memory of an owned engine, or
-// that it waits no longer, and returns whether it is its turn and what is free.
+// AwaitGroup adds the group id to the queue for the memory of an owned engine,
+// or removes it if leave is set. It returns whether a more urgent group waits
+// too, and the engine's free and total memory. The status is empty for a group
+// that leaves and for an engine that is not owned.
 func (s *State) AwaitGroup(addr, id string, priority int64, leave bool) group.WaitStatus {
 	o, ok := s.owned[addr]
 	switch {
@@ -247,14 +255,15 @@
 		return group.WaitStatus{}
 	}
 	t := group.WaitStatus{Outranked: o.groups.Join(id, priority, s.now())}
-	if o.known && o.record.Status == directory.Up {
+	if o.reported && o.record.Status == directory.Up {
 		t.Free, t.Total = max(0, o.load.FreeTokens()), o.record.TotalTokens
 	}
 	return t
 }
 
-// FinishAttempt takes the end of an attempt on an owned engine; failed says that the
-// engine broke it off or could not be reached.
+// FinishAttempt records the end of an attempt on an owned engine. FirstToken is
+// its time to first token; failed means that the engine aborted the attempt or
+// could not be reached.
 func (s *State) FinishAttempt(attempt, addr string, firstToken time.Duration, failed bool) {
 	o, ok := s.owned[addr]
 	if !ok {
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -17,38 +17,39 @@
 )
 
 const (
-	// newsMembers and newsEngines bound what rides on one heartbeat.
-	newsMembers = 8
-	newsEngines = 6
+	// Maximum numbers of records that are attached to one heartbeat.
+	maxGossipMembers = 8
+	maxGossipEngines = 6
 )
 
-// State is the control state. Only the loop's goroutine touches it.
+// State is the control state. It is accessed only on the goroutine of
+// [Loop.Run].
 type State struct {
-	now      func() time.Time
-	random   *rand.Rand
-	members  *member.Table
-	engines  *directory.Directory
-	owned    map[string]*ownedEngine
-	hosts    []hosts.Host
-	hostsAt  time.Time
-	book     *template.Set
-	recent   template.RecentChanges
-	bookAt   time.Time
-	heard    uint64 // highest number of a template change heard of
-	platform platformState
-	demand   *placement.Meter
-	draining bool
-	dirty    bool
+	now            func() time.Time
+	random         *rand.Rand
+	members        *member.Table
+	engines        *directory.Directory
+	owned          map[string]*ownedEngine
+	hosts          []hosts.Host
+	hostsAt        time.Time
+	templates      *template.Set
+	recentChanges  template.RecentChanges
+	templatesSince time.Time
+	latestNumber   uint64 // highest number of a template change known to exist
+	platform       platformState
+	demand         *placement.Meter
+	draining       bool
+	dirty          bool
 }
 
-// Gossip is what daemons tell each other in passing.
+// Gossip holds the records that daemons exchange in heartbeats and syncs.
 type Gossip struct {
 	Members        []member.Member
 	Engines        []directory.Engine
-	TemplateNumber uint64
+	TemplateNumber uint64 // last template change in force at the sender
 }
 
-// platformState is what the daemon knows of the platform's service.
+// platformState is the reachability of the platform's services.
 type platformState struct {
 	down  bool
 	since time.Time
@@ -60,10 +61,10 @@
 // Random returns the loop's source of random numbers.
 func (s *State) Random() *rand.Rand { return s.random }
 
-// Members returns the table of members.
+// Members returns the membership list.
 func (s *State) Members() *member.Table { return s.members }
 
-// MergeMembers takes news of members.
+// MergeMembers merges records of members, and logs changes of their status.
 func (s *State) MergeMembers(ms []member.Member) {
 	for _, m := range ms {
 		before, known := s.members.Get(m.Addr)
@@ -89,7 +90,8 @@
 	}
 }
 
-// PingFailed says that a member did not answer.
+// PingFailed records that a member answered neither directly nor through
+// others.
 func (s *State) PingFailed(addr string) {
 	if s.members.PingFailed(addr, s.now()) {
 		s.dirty = true
@@ -97,13 +99,14 @@
 	}
 }
 
-// Tick lets old suspicions end, and forgets engines that stay down.
+// Tick declares members dead whose suspicion has timed out, and removes engines
+// that have been down for [directory.DownLife].
 func (s *State) Tick() {
 	suspicions, engines := s.members.Tick(s.now()), s.engines.Tick(s.now())
 	s.dirty = s.dirty || suspicions || engines
 }
 
-// MergeEngines takes news of engines.
+// MergeEngines merges records of engines.
 func (s *State) MergeEngines(es []directory.Engine) {
 	for _, e := range es {
 		if s.engines.Merge(e) {
@@ -112,35 +115,36 @@
 	}
 }
 
-// NextGossip returns what rides on the next heartbeat.
+// NextGossip returns the records to attach to the next heartbeat.
 func (s *State) NextGossip() Gossip {
 	return Gossip{
-		Members:        s.members.Updates(newsMembers),
-		Engines:        s.engines.News(newsEngines, s.members.Len()),
-		TemplateNumber: s.book.Number(),
+		Members:        s.members.Updates(maxGossipMembers),
+		Engines:        s.engines.News(maxGossipEngines, s.members.Len()),
+		TemplateNumber: s.templates.Number(),
 	}
 }
 
-// AllRecords returns every member and engine, for a sync.
+// AllRecords returns the records of all members and engines, for a sync.
 func (s *State) AllRecords() Gossip {
-	return Gossip{Members: s.members.All(), Engines: s.engines.All(), TemplateNumber: s.book.Number()}
+	return Gossip{Members: s.members.All(), Engines: s.engines.All(), TemplateNumber: s.templates.Number()}
 }
 
-// MergeGossip takes what another daemon has told.
+// MergeGossip merges the records received from another daemon.
 func (s *State) MergeGossip(n Gossip) {
 	s.MergeMembers(n.Members)
 	s.MergeEngines(n.Engines)
 	s.ObserveTemplateNumber(n.TemplateNumber)
 }
 
-// PeerInSync says that another daemon, picked at random, has the same records.
+// PeerInSync records that a randomly selected daemon has the same records.
 func (s *State) PeerInSync() {
 	s.members.PeerInSync()
 	s.engines.Known(s.members.Len())
 }
 
-// Digest names the state of all member and engine records: daemons with the
-// same records have the same digest.
+// Digest returns a hash of the member and engine records, so that daemons can
+// compare their records without sending them. Dead members and engines that are
+// down are left out, since each daemon removes them at a different time.
 func (s *State) Digest() uint64 {
 	d := xxhash.New()
 	var n [8]byte
@@ -153,7 +157,7 @@
 	}
 	for _, m := range s.members.All() {
 		if m.Status == member.Dead {
-			continue // each daemon forgets the dead in its own time
+			continue
 		}
 		add(m.Addr, m.Incarnation, uint64(m.Revision), uint64(m.Status))
 	}
@@ -166,19 +170,20 @@
 	return d.Sum64()
 }
 
-// UpdateTemplates moves the templates in force forward; what is older changes
-// nothing.
+// UpdateTemplates applies u to the templates in force. Changes that they already
+// include have no effect, so the number of the last change never falls.
 func (s *State) UpdateTemplates(u template.Update) {
-	b, r := s.book.Update(u, s.recent)
-	if b.Number() == s.book.Number() {
+	b, r := s.templates.Update(u, s.recentChanges)
+	if b.Number() == s.templates.Number() {
 		return
 	}
-	event.TemplatesMoved.Info("from", s.book.Number(), "to", b.Number())
-	s.book, s.recent, s.bookAt, s.dirty = b, r, s.now(), true
+	event.TemplatesMoved.Info("from", s.templates.Number(), "to", b.Number())
+	s.templates, s.recentChanges, s.templatesSince, s.dirty = b, r, s.now(), true
 	s.ObserveTemplateNumber(b.Number())
 }
 
-// SetHosts takes the platform's host list.
+// SetHosts replaces the platform's host list, and marks owned engines as leaving
+// that the list gives as leaving.
 func (s *State) SetHosts(hs []hosts.Host) {
 	s.hosts, s.hostsAt, s.dirty = hs, s.now(), true
 	for _, h := range hs {
@@ -191,7 +196,8 @@
 	}
 }
 
-// SetPlatformReachable notes whether the platform answered a request.
+// SetPlatformReachable records whether the last request to the platform was
+// answered.
 func (s *State) SetPlatformReachable(ok bool) {
 	if s.platform.down == !ok {
 		return
@@ -205,17 +211,18 @@
 	event.PlatformLost.Warn()
 }
 
-// Drain marks the daemon as leaving.
+// Drain marks the daemon as draining, and its member record as leaving.
 func (s *State) Drain() {
 	s.draining, s.dirty = true, true
 	s.members.Leave()
 }
 
-// offers returns the predictions of owned engines that can run p.
+// offers returns the offers of the owned engines that are up, hold the model of
+// p and have enough memory in total.
 func (s *State) offers(p route.Prompt) []route.Offer {
 	var out []route.Offer
 	for _, o := range s.owned {
-		if o.record.Status != directory.Up || !o.known || !o.record.Holds(p.Model, p.Version) {
+		if o.record.Status != directory.Up || !o.reported || !o.record.Holds(p.Model, p.Version) {
 			continue
 		}
 		if p.Memory() > o.record.TotalTokens {
@@ -226,23 +233,25 @@
 	return out
 }
 
-// CountRequest counts a request of this daemon's callers.
+// CountRequest adds the tokens of a request from this daemon's callers to the
+// demand for the copy c.
 func (s *State) CountRequest(c directory.Copy, tokens int) { s.demand.Add(c, tokens, s.now()) }
 
-// Demand returns what this daemon's callers ask for.
+// Demand returns the demand of this daemon's callers.
 func (s *State) Demand() placement.Demand { return s.demand.Demand(s.now()) }
 
-// ObserveTemplateNumber notes that somebody has template changes up to number.
-func (s *State) ObserveTemplateNumber(number uint64) { s.heard = max(s.heard, number) }
+// ObserveTemplateNumber records that template changes up to number exist.
+func (s *State) ObserveTemplateNumber(number uint64) { s.latestNumber = max(s.latestNumber, number) }
 
-// LatestTemplateNumber returns the highest number of a template change that was heard of.
-func (s *State) LatestTemplateNumber() uint64 { return s.heard }
+// LatestTemplateNumber returns the highest number of a template change that is
+// known to exist. The change need not be in force on this daemon yet.
+func (s *State) LatestTemplateNumber() uint64 { return s.latestNumber }
 
-// maxStrangers bounds the unknown daemons that are tried at once.
-const maxStrangers = 3
+// maxUnknownDaemons is the maximum number of daemons that UnknownDaemons returns.
+const maxUnknownDaemons = 3
 
-// UnknownDaemons returns a few daemons, from the settings and the host list, that
-// are not members yet.
+// UnknownDaemons returns random daemons from the host list and the bootstrap
+// addresses of the settings that are not members yet, or are dead members.
 func (s *State) UnknownDaemons(bootstrap []string) []string {
 	known := map[string]bool{}
 	for _, m := range s.members.All() {
@@ -264,5 +273,5 @@
 		}
 	}
 	s.random.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(maxStrangers, len(out))]
+	return out[:min(maxUnknownDaemons, len(out))]
 }
--- a/daemon/control/view.go
+++ b/daemon/control/view.go
@@ -12,57 +12,61 @@
 )
 
 type (
-	// View is an immutable snapshot of the control state, for traffic.
+	// View is an immutable snapshot of the control state, for the goroutines
+	// that handle requests.
 	View struct {
 		// Self is the daemon's own record.
 		Self member.Member
-		// Templates has the templates in force, since BookAt.
+		// Templates holds the templates in force, which were last updated at
+		// TemplatesSince.
 		Templates      *template.Set
 		TemplatesSince time.Time
-		// RecentChanges has the last template changes.
+		// RecentChanges holds the last template changes.
 		RecentChanges template.RecentChanges
-		// Members has all daemons known.
+		// Members holds the records of all members, including dead ones.
 		Members []member.Member
-		// Engines has all engines known.
+		// Engines holds the records of all engines, including those that are
+		// down.
 		Engines []directory.Engine
-		// PlatformDown says that the platform does not answer.
+		// PlatformDown reports whether the last request to the platform was
+		// not answered.
 		PlatformDown bool
-		// Draining says that the daemon takes no new requests.
+		// Draining reports whether the daemon is draining before it stops.
 		Draining bool
 
-		live     map[string][]string // hall to daemons
-		groups   map[groupKey]*EngineSet
-		owners   map[string]string       // engine to its owner
-		services map[string][]hosts.Host // plain service to its hosts
-		oldSite  []hosts.Host
-		hosts    []hosts.Host
+		liveDaemons map[string][]string // hall to addresses of its daemons
+		engineSets  map[engineSetKey]*EngineSet
+		owners      map[string]string       // engine to its owner, by address
+		services    map[string][]hosts.Host // plain service to its hosts
+		oldSite     []hosts.Host
+		hosts       []hosts.Host
 	}
 )
 
 func newView(s *State) *View {
 	v := &View{
 		Self:           s.members.Self(),
-		Templates:      s.book,
-		TemplatesSince: s.bookAt,
-		RecentChanges:  s.recent,
+		Templates:      s.templates,
+		TemplatesSince: s.templatesSince,
+		RecentChanges:  s.recentChanges,
 		Members:        s.members.All(),
 		Engines:        s.engines.All(),
 		PlatformDown:   s.platform.down,
 		Draining:       s.draining,
-		live:           map[string][]string{},
+		liveDaemons:    map[string][]string{},
 		owners:         map[string]string{},
 		services:       map[string][]hosts.Host{},
 		hosts:          s.hosts,
 	}
 	for _, m := range v.Members {
 		if m.Status == member.Alive || m.Status == member.Suspect {
-			v.live[m.Hall] = append(v.live[m.Hall], m.Addr)
+			v.liveDaemons[m.Hall] = append(v.liveDaemons[m.Hall], m.Addr)
 		}
 	}
 	for _, e := range v.Engines {
-		v.owners[e.Addr] = route.Owner(e.Addr, v.live[e.Hall])
+		v.owners[e.Addr] = route.Owner(e.Addr, v.liveDaemons[e.Hall])
 	}
-	v.groups = newGroups(v)
+	v.engineSets = newEngineSets(v)
 	for _, h := range s.hosts {
 		v.addHost(h)
 	}
@@ -81,21 +85,24 @@
 	}
 }
 
-// LocalEngines returns the engines of the daemon's own hall that are up and hold a
-// model in a version; it may be nil.
+// LocalEngines returns the engines of the daemon's own hall that are up and hold
+// the given version of a model. The set is nil if there are none.
 func (v *View) LocalEngines(model, version string) *EngineSet {
-	return v.groups[groupKey{home: true, model: model, version: version}]
+	return v.engineSets[engineSetKey{local: true, model: model, version: version}]
 }
 
-// RemoteEngines returns those of the other halls; it may be nil.
+// RemoteEngines returns the engines of all other halls that are up and hold the
+// given version of a model. The set is nil if there are none.
 func (v *View) RemoteEngines(model, version string) *EngineSet {
-	return v.groups[groupKey{model: model, version: version}]
+	return v.engineSets[engineSetKey{model: model, version: version}]
 }
 
-// Owner returns the daemon that owns an engine, or "".
+// Owner returns the address of the daemon that owns an engine, or "" if the
+// engine is unknown or its hall has no live daemon.
 func (v *View) Owner(engine string) string { return v.owners[engine] }
 
-// Incarnation returns the life that an engine is in, as far as known, or 0.
+// Incarnation returns the last known incarnation of an engine, or 0 if the
+// engine is unknown.
 func (v *View) Incarnation(engine string) uint64 {
 	i := slices.IndexFunc(v.Engines, func(e directory.Engine) bool { return e.Addr == engine })
 	if i < 0 {
@@ -104,22 +111,23 @@
 	return v.Engines[i].Incarnation
 }
 
-// ChecksFence reports whether the host list says that an engine refuses orders
-// with an old fence.
+// ChecksFence reports whether an engine refuses orders with an old fence,
+// according to the host list.
 func (v *View) ChecksFence(engine string) bool {
 	i := slices.IndexFunc(v.hosts, func(h hosts.Host) bool { return h.Addr == engine })
 	return i >= 0 && v.hosts[i].ChecksFence
 }
 
-// LiveDaemons returns the daemons of a hall that are thought alive.
-func (v *View) LiveDaemons(hall string) []string { return v.live[hall] }
+// LiveDaemons returns the addresses of the daemons of a hall that are alive or
+// suspected.
+func (v *View) LiveDaemons(hall string) []string { return v.liveDaemons[hall] }
 
-// ServiceHosts returns the hosts of a plain service, those of the daemon's own hall
-// first.
+// ServiceHosts returns the hosts of a plain service that are not leaving, those
+// of the daemon's own hall first.
 func (v *View) ServiceHosts(service string) []hosts.Host {
 	hs := slices.Clone(v.services[service])
 	slices.SortStableFunc(hs, func(a, b hosts.Host) int {
-		return far(a, v.Self.Hall) - far(b, v.Self.Hall)
+		return hallDistance(a, v.Self.Hall) - hallDistance(b, v.Self.Hall)
 	})
 	return hs
 }
@@ -127,10 +135,11 @@
 // AllHosts returns the platform's host list as it was last read.
 func (v *View) AllHosts() []hosts.Host { return v.hosts }
 
-// OldSite returns the fronts of the old site.
+// OldSite returns the front hosts of the old site that are not leaving.
 func (v *View) OldSite() []hosts.Host { return v.oldSite }
 
-func far(h hosts.Host, hall string) int {
+// hallDistance returns 0 for a host in the given hall, and 1 for any other.
+func hallDistance(h hosts.Host, hall string) int {
 	if h.Hall == hall {
 		return 0
 	}
