--- a/daemon/peers/client.go
+++ b/daemon/peers/client.go
@@ -20,18 +20,19 @@
 const (
 	connectTimeout = time.Second
 	maxBackoff     = 5 * time.Second
-	idleAfter      = time.Minute
-	// window is fixed, so that the library does not probe the bandwidth with
-	// pings, which would double the bytes of small calls.
-	window     = 1 << 20
-	maxMessage = 64 << 20
+	idleTimeout    = time.Minute
+	// windowSize is the flow-control window, in bytes. It is set explicitly
+	// because gRPC otherwise estimates the bandwidth with pings, which double
+	// the bytes of small calls.
+	windowSize     = 1 << 20
+	maxMessageSize = 64 << 20 // bytes
 )
 
-var errCut = errors.New("the daemon can't be reached")
+var errUnreachable = errors.New("the daemon can't be reached")
 
 type (
 	// Client calls other daemons. Connections are opened on first use and
-	// closed when idle.
+	// closed when idle. It is safe for concurrent use.
 	Client struct {
 		creds credentials.TransportCredentials
 		reach func(addr string) bool
@@ -41,15 +42,16 @@
 		conns map[string]*grpc.ClientConn
 	}
 
-	// countConn counts the bytes of a connection.
-	countConn struct {
+	// countingConn counts the bytes that are sent and received on a connection,
+	// and fails while the daemon at addr is not reachable.
+	countingConn struct {
 		net.Conn
 		addr  string
 		reach func(addr string) bool
 		bytes *atomic.Int64
 	}
 
-	// ClientOption changes a client under construction.
+	// ClientOption configures a Client during construction.
 	ClientOption func(*Client)
 )
 
@@ -62,8 +64,8 @@
 	}
 }
 
-// WithReach sets a seam that says whether a daemon can be reached, so that
-// tests can cut daemons off from each other.
+// WithReach sets the function that reports whether a daemon can be reached, by
+// which tests simulate network partitions. By default all can be reached.
 func WithReach(f func(addr string) bool) ClientOption { return func(k *Client) { k.reach = f } }
 
 // NewClient returns a client.
@@ -89,7 +91,8 @@
 	}
 }
 
-// Disconnect closes the connection to a daemon that has gone.
+// Disconnect closes the connection to a daemon, if there is one. The next call
+// to the daemon opens a new connection.
 func (c *Client) Disconnect(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,28 +110,28 @@
 	return wire.NewPeerClient(conn), nil
 }
 
-// conn returns the connection to a daemon, which is opened at its first call.
+// conn returns the connection to a daemon, and creates it on first use.
 func (c *Client) conn(addr string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn, ok := c.conns[addr]; ok {
 		return conn, nil
 	}
-	// The passthrough scheme takes the address as it is: no name service, no
-	// discovery and no balancing of the library is used.
+	// The passthrough scheme uses the address as it is, without name
+	// resolution, service discovery or load balancing by gRPC.
 	os := []grpc.DialOption{
 		grpc.WithTransportCredentials(c.creds),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithIdleTimeout(idleAfter),
-		grpc.WithInitialWindowSize(window),
-		grpc.WithInitialConnWindowSize(window),
+		grpc.WithIdleTimeout(idleTimeout),
+		grpc.WithInitialWindowSize(windowSize),
+		grpc.WithInitialConnWindowSize(windowSize),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxBackoff},
 			MinConnectTimeout: connectTimeout,
 		}),
 		grpc.WithUnaryInterceptor(traceClient),
 		grpc.WithContextDialer(c.dial),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
 	}
 	conn, err := grpc.NewClient("passthrough:///"+addr, os...)
 	if err != nil {
@@ -140,34 +143,34 @@
 
 func (c *Client) dial(ctx context.Context, addr string) (net.Conn, error) {
 	if !c.reach(addr) {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	var d net.Dialer
 	n, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return countConn{Conn: n, addr: addr, reach: c.reach, bytes: &c.bytes}, nil
+	return countingConn{Conn: n, addr: addr, reach: c.reach, bytes: &c.bytes}, nil
 }
 
-// Bytes returns how many bytes were sent and received on the connections that
-// this daemon opened.
+// Bytes returns the number of bytes sent and received on the connections that
+// this client opened.
 func (c *Client) Bytes() int64 { return c.bytes.Load() }
 
-// Read counts what is received.
-func (c countConn) Read(b []byte) (int, error) {
+// Read implements net.Conn and counts the bytes received.
+func (c countingConn) Read(b []byte) (int, error) {
 	if !c.reach(c.addr) {
-		return 0, errCut
+		return 0, errUnreachable
 	}
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what is sent.
-func (c countConn) Write(b []byte) (int, error) {
+// Write implements net.Conn and counts the bytes sent.
+func (c countingConn) Write(b []byte) (int, error) {
 	if !c.reach(c.addr) {
-		return 0, errCut
+		return 0, errUnreachable
 	}
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
--- a/daemon/peers/convert.go
+++ b/daemon/peers/convert.go
@@ -102,7 +102,7 @@
 	}
 	for _, m := range p.PrefixHashes {
 		w.Marks = append(w.Marks, m.Hash)
-		w.Blocks = uint32(m.Blocks) // that of the last one
+		w.Blocks = uint32(m.Blocks) // the last prefix is the longest
 	}
 	return w
 }
@@ -119,10 +119,10 @@
 		Reserved:  w.GetReserved(),
 		Deadline:  now.Add(time.Duration(w.GetBudgetMs()) * time.Millisecond),
 	}
-	names := w.GetMarks()
+	hashes := w.GetMarks()
 	for i, n := range prefix.LookupLengths(int(w.GetBlocks())) {
-		if i < len(names) {
-			p.PrefixHashes = append(p.PrefixHashes, route.PrefixHash{Blocks: n, Hash: names[i]})
+		if i < len(hashes) {
+			p.PrefixHashes = append(p.PrefixHashes, route.PrefixHash{Blocks: n, Hash: hashes[i]})
 		}
 	}
 	return p
@@ -182,15 +182,15 @@
 	return out, nil
 }
 
-func newsToWire(n control.Gossip) *wire.News {
+func gossipToWire(g control.Gossip) *wire.News {
 	return &wire.News{
-		Members:        membersToWire(n.Members),
-		Engines:        enginesToWire(n.Engines),
-		TemplateNumber: n.TemplateNumber,
+		Members:        membersToWire(g.Members),
+		Engines:        enginesToWire(g.Engines),
+		TemplateNumber: g.TemplateNumber,
 	}
 }
 
-func newsFromWire(w *wire.News) control.Gossip {
+func gossipFromWire(w *wire.News) control.Gossip {
 	return control.Gossip{
 		Members:        membersFromWire(w.GetMembers()),
 		Engines:        enginesFromWire(w.GetEngines()),
@@ -198,11 +198,12 @@
 	}
 }
 
+// decode decodes templates or changes, each of which is sent as JSON.
 func decode[T any](bs [][]byte) ([]T, error) {
 	out := make([]T, len(bs))
 	for i, b := range bs {
 		if err := json.Unmarshal(b, &out[i]); err != nil {
-			return nil, errors.Wrap(err, "decode templates from a daemon")
+			return nil, errors.Wrap(err, "decode templates from another daemon")
 		}
 	}
 	return out, nil
@@ -210,8 +211,8 @@
 
 func demandToWire(d placement.Demand) []*wire.CopyDemand {
 	out := make([]*wire.CopyDemand, 0, len(d))
-	for c, r := range d {
-		out = append(out, &wire.CopyDemand{Copy: &wire.Copy{Model: c.Model, Version: c.Version}, TokensPerSecond: float32(r)})
+	for c, rate := range d {
+		out = append(out, &wire.CopyDemand{Copy: &wire.Copy{Model: c.Model, Version: c.Version}, TokensPerSecond: float32(rate)})
 	}
 	return out
 }
--- a/daemon/peers/rpc.go
+++ b/daemon/peers/rpc.go
@@ -14,17 +14,19 @@
 	"slipcrank.example/peer/wire"
 )
 
-// Ping exchanges news with a daemon.
-func (c *Client) Ping(ctx context.Context, addr, from, hall string, n control.Gossip) (control.Gossip, error) {
+// Ping sends a heartbeat with records to a daemon, and returns the records that
+// the daemon attached to its reply. From and hall are those of the caller.
+func (c *Client) Ping(ctx context.Context, addr, from, hall string, g control.Gossip) (control.Gossip, error) {
 	p, err := c.peer(addr)
 	if err != nil {
 		return control.Gossip{}, err
 	}
-	r, err := p.Ping(ctx, &wire.PingRequest{From: from, Hall: hall, News: newsToWire(n)})
-	return newsFromWire(r.GetNews()), err
+	r, err := p.Ping(ctx, &wire.PingRequest{From: from, Hall: hall, News: gossipToWire(g)})
+	return gossipFromWire(r.GetNews()), err
 }
 
-// PingVia asks a daemon to ping another one.
+// PingVia asks the daemon at addr to ping the daemon at target. It returns an
+// error if target does not answer.
 func (c *Client) PingVia(ctx context.Context, addr, target string) error {
 	p, err := c.peer(addr)
 	if err != nil {
@@ -34,28 +36,30 @@
 	return err
 }
 
-// CompareDigest asks a daemon whether its records have the same digest. If not, it
-// returns all that the daemon has.
+// CompareDigest reports whether the records of a daemon have the given digest.
+// If not, it returns all records of that daemon.
 func (c *Client) CompareDigest(ctx context.Context, addr, from string, digest uint64) (control.Gossip, bool, error) {
 	p, err := c.peer(addr)
 	if err != nil {
 		return control.Gossip{}, false, err
 	}
 	r, err := p.Sync(ctx, &wire.SyncRequest{From: from, Digest: digest})
-	return newsFromWire(r.GetNews()), r.GetSame(), err
+	return gossipFromWire(r.GetNews()), r.GetSame(), err
 }
 
-// PushRecords gives a daemon all records.
-func (c *Client) PushRecords(ctx context.Context, addr, from string, n control.Gossip) error {
+// PushRecords sends records to a daemon, which merges them with its own.
+func (c *Client) PushRecords(ctx context.Context, addr, from string, g control.Gossip) error {
 	p, err := c.peer(addr)
 	if err != nil {
 		return err
 	}
-	_, err = p.Sync(ctx, &wire.SyncRequest{From: from, News: newsToWire(n)})
+	_, err = p.Sync(ctx, &wire.SyncRequest{From: from, News: gossipToWire(g)})
 	return err
 }
 
-// Changes returns what a daemon has beyond change number after.
+// Changes returns the template changes that a daemon has after the given number,
+// or a snapshot of its templates if it no longer has all of those changes. The
+// update is empty if there are none.
 func (c *Client) Changes(ctx context.Context, addr string, after uint64) (template.Update, error) {
 	p, err := c.peer(addr)
 	if err != nil {
@@ -76,7 +80,7 @@
 	return template.Update{Changes: cs}, err
 }
 
-// Bid asks an owner for offers.
+// Bid returns the offers for q of the engines that a daemon owns.
 func (c *Client) Bid(ctx context.Context, addr string, q route.Prompt) ([]route.Offer, error) {
 	p, err := c.peer(addr)
 	if err != nil {
@@ -93,8 +97,9 @@
 	return os, nil
 }
 
-// Place records a placement with an owner. It reports false, with the present
-// offer, if the owner refused it.
+// Place records the placement of an attempt with the owner of the engine that
+// made offer o. If the owner refuses the placement, Place returns the engine's
+// current offer and false.
 func (c *Client) Place(ctx context.Context, addr, attempt string, o route.Offer, q route.Prompt) (route.Offer, bool, error) {
 	p, err := c.peer(addr)
 	if err != nil {
@@ -113,7 +118,9 @@
 	return offerFromWire(r.GetOffer()), r.GetPlaced(), nil
 }
 
-// Finish tells an owner that an attempt has ended.
+// Finish reports the end of an attempt to the owner of its engine. FirstToken is
+// the attempt's time to first token; failed means that the engine aborted the
+// attempt or could not be reached.
 func (c *Client) Finish(ctx context.Context, addr, attempt, engine string, firstToken time.Duration, failed bool) error {
 	p, err := c.peer(addr)
 	if err != nil {
@@ -128,8 +135,9 @@
 	return err
 }
 
-// Await tells the owner of an engine that a group waits for memory there, or
-// that it waits no longer, and reports whether a more urgent one waits too.
+// Await adds the group id to the queue for the memory of an engine, or removes
+// it if leave is set, at the engine's owner. It returns whether a more urgent
+// group waits too, and the engine's free and total memory.
 func (c *Client) Await(ctx context.Context, addr, engine, id string, priority int64, leave bool) (group.WaitStatus, error) {
 	p, err := c.peer(addr)
 	if err != nil {
@@ -139,7 +147,7 @@
 	return group.WaitStatus{Outranked: r.GetAhead(), Free: int(r.GetFreeTokens()), Total: int(r.GetTotalTokens())}, err
 }
 
-// Demand asks a daemon what its callers ask for.
+// Demand returns the demand of a daemon's callers.
 func (c *Client) Demand(ctx context.Context, addr string) (placement.Demand, error) {
 	p, err := c.peer(addr)
 	if err != nil {
@@ -149,7 +157,9 @@
 	return demandFromWire(r.GetDemands()), err
 }
 
-// Claim writes one claim row through the batcher on a daemon.
+// Claim writes one claim row through the batcher of a daemon, and returns the
+// result and the version of the row. If the call fails, the result is
+// [claim.Unknown], since the row may have been written.
 func (c *Client) Claim(ctx context.Context, addr string, w store.Write) (claim.Result, uint64) {
 	p, err := c.peer(addr)
 	if err != nil {
--- a/daemon/peers/server.go
+++ b/daemon/peers/server.go
@@ -1,13 +1,13 @@
-// Package peers is how the daemons of entry hosts talk to each other: over
-// gRPC, with messages from module peer. Nothing that the library brings for
-// discovery or balancing is used.
+// Package peers implements the calls between the daemons of entry hosts, as a
+// gRPC client and server with the messages of module peer. It does not use
+// gRPC's service discovery and load balancing.
 //
 // # Usage
 //
-//	s := peers.NewServer(loop, peers.WithBatcher(g.Write))
-//	addr, err := s.Serve(ctx, "127.0.0.1:0")
 //	c := peers.NewClient()
-//	news, err := c.Ping(ctx, addr, self, hall, control.News{})
+//	s := peers.NewServer(loop, c, peers.WithBatcher(batcher.Write))
+//	s.Serve(ctx, listener)
+//	g, err := c.Ping(ctx, addr, self, hall, control.Gossip{})
 package peers
 
 import (
@@ -33,37 +33,39 @@
 )
 
 type (
-	// Server answers other daemons.
+	// Server answers the calls of other daemons.
 	Server struct {
 		wire.UnimplementedPeerServer
 
-		loop   *control.Loop
-		client *Client
-		write  claim.Writer
-		tls    *tls.Config
-		// suspects takes in what other daemons know of requests.
-		suspects func([]quarantine.Record)
+		loop       *control.Loop
+		client     *Client
+		writeClaim claim.Writer
+		tls        *tls.Config
+		// onSuspects is called with the records of suspects that other daemons
+		// send.
+		onSuspects func([]quarantine.Record)
 	}
 
-	// ServerOption changes a server under construction.
+	// ServerOption configures a Server during construction.
 	ServerOption func(*Server)
 )
 
-// WithBatcher sets what writes claim rows for the hall.
-func WithBatcher(w claim.Writer) ServerOption { return func(s *Server) { s.write = w } }
+// WithBatcher sets the function that writes claim rows for the daemons of the
+// hall. Without it the server refuses all claims.
+func WithBatcher(w claim.Writer) ServerOption { return func(s *Server) { s.writeClaim = w } }
 
 // WithServerTLS sets the TLS configuration.
 func WithServerTLS(c *tls.Config) ServerOption { return func(s *Server) { s.tls = c } }
 
-// NewServer returns a server over a daemon's control loop; c is used to ping
-// for others.
+// NewServer returns a server for the control loop of a daemon. It uses c to ping
+// daemons on behalf of others.
 func NewServer(l *control.Loop, c *Client, os ...ServerOption) *Server {
 	s := &Server{
-		loop:   l,
-		client: c,
-		write:  func(context.Context, store.Write) (claim.Result, uint64) { return claim.Refused, 0 },
+		loop:       l,
+		client:     c,
+		writeClaim: func(context.Context, store.Write) (claim.Result, uint64) { return claim.Refused, 0 },
 
-		suspects: func([]quarantine.Record) {},
+		onSuspects: func([]quarantine.Record) {},
 	}
 	for _, o := range os {
 		o(s)
@@ -71,13 +73,13 @@
 	return s
 }
 
-// Serve answers on l until ctx ends.
+// Serve starts to serve calls on l, and returns. The server stops when ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
 	os := []grpc.ServerOption{
 		grpc.UnaryInterceptor(traceServer),
-		grpc.MaxRecvMsgSize(maxMessage),
-		grpc.InitialWindowSize(window),
-		grpc.InitialConnWindowSize(window),
+		grpc.MaxRecvMsgSize(maxMessageSize),
+		grpc.InitialWindowSize(windowSize),
+		grpc.InitialConnWindowSize(windowSize),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: time.Minute}),
 	}
 	if s.tls != nil {
@@ -85,45 +87,45 @@
 	}
 	g := grpc.NewServer(os...)
 	wire.RegisterPeerServer(g, s)
-	g.RegisterService(&suspectsDescription, s)
+	g.RegisterService(&suspectsServiceDesc, s)
 	context.AfterFunc(ctx, g.Stop)
 	go func() { _ = g.Serve(l) }()
 }
 
-// Ping implements the heartbeat.
+// Ping merges the records of a heartbeat and replies with records of its own.
 func (s *Server) Ping(ctx context.Context, r *wire.PingRequest) (*wire.PingReply, error) {
-	n, ok := control.Ask(ctx, s.loop, func(st *control.State) control.Gossip {
-		st.MergeGossip(newsFromWire(r.GetNews()))
+	g, ok := control.Ask(ctx, s.loop, func(st *control.State) control.Gossip {
+		st.MergeGossip(gossipFromWire(r.GetNews()))
 		return st.NextGossip()
 	})
 	if !ok {
 		return nil, errStopped
 	}
-	return &wire.PingReply{News: newsToWire(n)}, nil
+	return &wire.PingReply{News: gossipToWire(g)}, nil
 }
 
-// PingVia pings another daemon for the caller.
+// PingVia pings another daemon on behalf of the caller.
 func (s *Server) PingVia(ctx context.Context, r *wire.PingViaRequest) (*wire.PingReply, error) {
 	v := s.loop.View()
-	n, err := s.client.Ping(ctx, r.GetTarget(), v.Self.Addr, v.Self.Hall, control.Gossip{TemplateNumber: v.Templates.Number()})
+	g, err := s.client.Ping(ctx, r.GetTarget(), v.Self.Addr, v.Self.Hall, control.Gossip{TemplateNumber: v.Templates.Number()})
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	return &wire.PingReply{News: newsToWire(n)}, nil
+	return &wire.PingReply{News: gossipToWire(g)}, nil
 }
 
-// Sync takes all that a daemon knows, or compares digests and answers with all
-// that is known here if they differ.
+// Sync merges the records in the request if there are any. Otherwise it compares
+// the digests, and replies with all its records if they differ.
 func (s *Server) Sync(ctx context.Context, r *wire.SyncRequest) (*wire.SyncReply, error) {
 	reply, ok := control.Ask(ctx, s.loop, func(st *control.State) *wire.SyncReply {
 		if r.GetNews() != nil {
-			st.MergeGossip(newsFromWire(r.GetNews()))
-			return &wire.SyncReply{News: newsToWire(control.Gossip{})}
+			st.MergeGossip(gossipFromWire(r.GetNews()))
+			return &wire.SyncReply{News: gossipToWire(control.Gossip{})}
 		}
 		if st.Digest() == r.GetDigest() {
-			return &wire.SyncReply{News: newsToWire(control.Gossip{}), Same: true}
+			return &wire.SyncReply{News: gossipToWire(control.Gossip{}), Same: true}
 		}
-		return &wire.SyncReply{News: newsToWire(st.AllRecords())}
+		return &wire.SyncReply{News: gossipToWire(st.AllRecords())}
 	})
 	if !ok {
 		return nil, errStopped
@@ -131,12 +133,13 @@
 	return reply, nil
 }
 
-// Changes returns recent changes, or the whole book.
+// Changes returns the template changes after the requested number, or all
+// templates if the recent changes do not reach back that far.
 func (s *Server) Changes(_ context.Context, r *wire.ChangesRequest) (*wire.ChangesReply, error) {
 	v := s.loop.View()
-	b := v.Templates
-	reply := &wire.ChangesReply{Number: b.Number()}
-	if b.Number() <= r.GetAfter() {
+	t := v.Templates
+	reply := &wire.ChangesReply{Number: t.Number()}
+	if t.Number() <= r.GetAfter() {
 		return reply, nil
 	}
 	var err error
@@ -144,7 +147,7 @@
 		reply.Changes, err = changesToWire(cs)
 		return reply, err
 	}
-	reply.Snapshot, err = templatesToWire(b.Templates())
+	reply.Snapshot, err = templatesToWire(t.Templates())
 	return reply, err
 }
 
@@ -158,7 +161,8 @@
 	return reply, nil
 }
 
-// Place records a placement.
+// Place records a placement on an engine that this daemon owns, or refuses it
+// with the engine's current offer.
 func (s *Server) Place(ctx context.Context, r *wire.PlaceRequest) (*wire.PlaceReply, error) {
 	o := route.Offer{
 		Addr:        r.GetAddr(),
@@ -169,7 +173,7 @@
 	return &wire.PlaceReply{Placed: ok, Offer: offerToWire(now)}, nil
 }
 
-// Finish takes the end of an attempt.
+// Finish records the end of an attempt on an engine that this daemon owns.
 func (s *Server) Finish(_ context.Context, r *wire.FinishRequest) (*wire.FinishReply, error) {
 	first := time.Duration(r.GetFirstTokenMs()) * time.Millisecond
 	s.loop.Post(func(st *control.State) {
@@ -178,13 +182,14 @@
 	return &wire.FinishReply{}, nil
 }
 
-// Await notes that a group waits for an engine that this daemon owns.
+// Await adds a group to the queue for the memory of an engine that this daemon
+// owns, or removes it.
 func (s *Server) Await(ctx context.Context, r *wire.AwaitRequest) (*wire.AwaitReply, error) {
 	t := s.loop.AwaitGroup(ctx, r.GetAddr(), r.GetId(), r.GetPriority(), r.GetLeave())
 	return &wire.AwaitReply{Ahead: t.Outranked, FreeTokens: uint32(t.Free), TotalTokens: uint32(t.Total)}, nil
 }
 
-// Demand returns what this daemon's callers ask for.
+// Demand returns the demand of this daemon's callers.
 func (s *Server) Demand(ctx context.Context, _ *wire.DemandRequest) (*wire.DemandReply, error) {
 	d, ok := control.Ask(ctx, s.loop, (*control.State).Demand)
 	if !ok {
@@ -193,9 +198,9 @@
 	return &wire.DemandReply{Demands: demandToWire(d)}, nil
 }
 
-// Claim writes one claim row.
+// Claim writes one claim row through the batcher of this daemon.
 func (s *Server) Claim(ctx context.Context, r *wire.ClaimRequest) (*wire.ClaimReply, error) {
-	res, v := s.write(ctx, store.Write{
+	res, v := s.writeClaim(ctx, store.Write{
 		Table:  claim.Table,
 		Key:    r.GetKey(),
 		Value:  r.GetValue(),
@@ -207,9 +212,10 @@
 
 var errStopped = errors.New("the daemon has stopped")
 
-// traceServer starts a span for a call that carries a trace.
+// traceServer is a server interceptor that starts a span for each call whose
+// metadata carry a trace context.
 func traceServer(ctx context.Context, r any, i *grpc.UnaryServerInfo, h grpc.UnaryHandler) (any, error) {
-	ctx, ok := extract(ctx)
+	ctx, ok := extractTrace(ctx)
 	if !ok {
 		return h(ctx, r)
 	}
