--- a/daemon/upkeep/engines.go
+++ b/daemon/upkeep/engines.go
@@ -7,19 +7,19 @@
 	"slipcrank.example/daemon/control"
 )
 
-// pollTimeout is shorter than the time in which a dead engine has to be
-// noticed by two polls.
+// pollTimeout is shorter than the time within which two polls have to detect a
+// failed engine.
 const pollTimeout = 800 * time.Millisecond
 
 // pollEngines reads the load reports and cache events of the engines that the
-// daemon owns. A slow engine does not hold up the others: it is left out
-// until its own poll has ended.
+// daemon owns. A slow engine does not delay the polls of others: it is not
+// polled again until its current poll has ended.
 func (u *Upkeep) pollEngines(ctx context.Context) {
 	due, _ := control.Ask(ctx, u.loop, (*control.State).DuePolls)
-	for _, o := range due {
+	for _, t := range due {
 		poll := func() {
-			p := u.poll(ctx, o)
-			u.loop.Post(func(s *control.State) { s.ApplyPoll(p) })
+			r := u.poll(ctx, t)
+			u.loop.Post(func(s *control.State) { s.ApplyPoll(r) })
 		}
 		if u.pool.Submit(poll) != nil { // the pool is full
 			poll()
@@ -27,17 +27,20 @@
 	}
 }
 
-func (u *Upkeep) poll(ctx context.Context, o control.PollTarget) control.PollResult {
+// poll reads the load report of an engine, and its cache events if there are new
+// ones or a resync is due. If only the events can't be read, the result is valid
+// without them.
+func (u *Upkeep) poll(ctx context.Context, t control.PollTarget) control.PollResult {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	p := control.PollResult{Addr: o.Addr, Resync: o.Resync}
-	p.Report, p.Err = u.engines.Report(ctx, o.Addr)
-	if p.Err != nil || (!o.Resync && p.Report.EventNumber <= o.After) {
-		return p
+	r := control.PollResult{Addr: t.Addr, Resync: t.Resync}
+	r.Report, r.Err = u.engines.Report(ctx, t.Addr)
+	if r.Err != nil || (!t.Resync && r.Report.EventNumber <= t.After) {
+		return r
 	}
-	page, err := u.engines.Events(ctx, o.Addr, o.After, o.Resync)
+	page, err := u.engines.Events(ctx, t.Addr, t.After, t.Resync)
 	if err == nil {
-		p.Page = &page
+		r.Page = &page
 	}
-	return p
+	return r
 }
--- a/daemon/upkeep/silent_test.go
+++ b/daemon/upkeep/hanging_test.go
@@ -18,19 +18,19 @@
 	"slipcrank.example/peer/wire"
 )
 
-// ahead is a daemon that has one template change.
-type ahead struct {
+// peerWithChange is a daemon that has one template change.
+type peerWithChange struct {
 	wire.UnimplementedPeerServer
 	change []byte
 }
 
-func (a ahead) Changes(context.Context, *wire.ChangesRequest) (*wire.ChangesReply, error) {
-	return &wire.ChangesReply{Number: 1, Changes: [][]byte{a.change}}, nil
+func (p peerWithChange) Changes(context.Context, *wire.ChangesRequest) (*wire.ChangesReply, error) {
+	return &wire.ChangesReply{Number: 1, Changes: [][]byte{p.change}}, nil
 }
 
-// TestChangeArrivesWhileThePlatformIsSilent has a platform that takes requests
-// and never answers, and another daemon that has what was heard of.
-func TestChangeArrivesWhileThePlatformIsSilent(t *testing.T) {
+// TestChangeIsFetchedFromPeerWhilePlatformHangs checks that a change is read
+// from another daemon while the platform accepts requests and never answers.
+func TestChangeIsFetchedFromPeerWhilePlatformHangs(t *testing.T) {
 	change, err := json.Marshal(template.Change{Number: 1, ID: "x", Template: template.Template{
 		Workspace: "till", CredentialSHA256: []string{strings.Repeat("ab", 32)}, Version: 1,
 	}})
@@ -38,15 +38,15 @@
 		t.Fatal(err)
 	}
 	g := grpc.NewServer()
-	wire.RegisterPeerServer(g, ahead{change: change})
+	wire.RegisterPeerServer(g, peerWithChange{change: change})
 	defer g.Stop()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = g.Serve(listener) }()
-	silent := store.NewMemory().Store()
-	silent.Read = func(ctx context.Context, _ []store.Ref) ([]store.Row, error) {
+	hanging := store.NewMemory().Store()
+	hanging.Read = func(ctx context.Context, _ []store.Ref) ([]store.Row, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -60,11 +60,11 @@
 	})
 	client := peers.NewClient()
 	defer client.Close()
-	New(l, client, WithChanges(changes.New(silent))).readTemplates(ctx)
+	New(l, client, WithChanges(changes.New(hanging))).readTemplates(ctx)
 	if n := l.View().Templates.Number(); n != 1 {
-		t.Errorf("the daemon is at change %d, want 1: another daemon has it", n)
+		t.Errorf("the daemon is at change %d, want change 1 of the other daemon", n)
 	}
 	if !l.View().PlatformDown {
-		t.Error("the daemon does not say that the platform is silent")
+		t.Error("the view does not report the platform as down")
 	}
 }
--- a/daemon/upkeep/lease.go
+++ b/daemon/upkeep/lease.go
@@ -7,17 +7,18 @@
 	"slipcrank.example/daemon/event"
 )
 
-// snapshotEvery is how many changes may come between two stored snapshots.
-const snapshotEvery = 100
+// snapshotInterval is the minimum number of changes between two stored
+// snapshots.
+const snapshotInterval = 100
 
-// keepLease takes or renews the hall's control lease. Its holder also stores
-// snapshots of the templates, from which new daemons start, and trims the log
-// of changes that they make needless.
-func (u *Upkeep) keepLease(ctx context.Context) {
+// renewLease acquires or renews the hall's control lease. The daemon that holds
+// the lease also stores snapshots of the templates, from which new daemons
+// start, and trims the changes from the log that the snapshots replace.
+func (u *Upkeep) renewLease(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, u.lease.RenewInterval())
 	defer cancel()
 	before, had := u.lease.Held(boottime.Time())
-	_ = u.lease.AcquireOrRenew(ctx) // a silent platform shows in the lease's end
+	_ = u.lease.AcquireOrRenew(ctx) // if the platform does not answer, the lease expires
 	after, has := u.lease.Held(boottime.Time())
 	switch {
 	case has && (!had || before.Fence != after.Fence):
@@ -30,15 +31,17 @@
 	}
 }
 
+// saveSnapshot stores a snapshot of the templates if snapshotInterval changes
+// have come into force since the last one.
 func (u *Upkeep) saveSnapshot(ctx context.Context) {
-	b := u.loop.View().Templates
-	if b.Number() < u.saved+snapshotEvery {
+	t := u.loop.View().Templates
+	if t.Number() < u.snapshotNumber+snapshotInterval {
 		return
 	}
-	if u.changes.SaveSnapshot(ctx, b) != nil {
-		return // the next turn tries again
+	if u.changes.SaveSnapshot(ctx, t) != nil {
+		return // retried at the next renewal
 	}
-	u.saved = b.Number()
+	u.snapshotNumber = t.Number()
 	if n, err := u.changes.Trim(ctx); n > 0 || err != nil {
 		event.LogTrimmed.Info("changes", n, "cause", err)
 	}
--- a/daemon/upkeep/orders.go
+++ b/daemon/upkeep/orders.go
@@ -17,43 +17,45 @@
 )
 
 const (
-	placePeriod = 5 * time.Second
-	orderTime   = time.Second
-	// orderedLife is how long a copy that was ordered counts as being loaded.
-	orderedLife = 2 * time.Minute
-	// demandTime bounds the wait for the hall's daemons to tell their demand;
-	// so many are asked at once.
-	demandTime   = 2 * time.Second
-	demandAtOnce = 16
+	placementPeriod = 5 * time.Second
+	orderTimeout    = time.Second
+	// orderedLoadTTL is how long an ordered copy counts as being loaded.
+	orderedLoadTTL = 2 * time.Minute
+	// demandTimeout limits the total time for reading the demand of the hall's
+	// daemons, of which at most maxDemandCalls are called concurrently.
+	demandTimeout  = 2 * time.Second
+	maxDemandCalls = 16
 )
 
-// ordered is a load that was ordered and is not seen done yet.
-type ordered struct {
+// orderedLoad is a load that was ordered and that the engine has not reported as
+// completed yet.
+type orderedLoad struct {
 	addr string
 	copy directory.Copy
 }
 
-// place plans which engines of the hall hold which copies, and orders the next
-// moves, if this daemon holds the hall's control lease. While the platform is
-// down the lease ends, and placement stays as it is.
-func (u *Upkeep) place(ctx context.Context) {
-	held, ok := u.lease.Held(boottime.Time())
+// placeCopies plans which engines of the hall hold which copies and orders the
+// next moves, if this daemon holds the hall's control lease. While the platform
+// is down, the lease expires and the placement does not change.
+func (u *Upkeep) placeCopies(ctx context.Context) {
+	term, ok := u.lease.Held(boottime.Time())
 	v := u.loop.View()
 	if !ok || v.Templates.Number() == 0 {
 		return
 	}
-	engines := u.placeable(v)
+	engines := u.availableEngines(v)
 	if len(engines) == 0 {
 		return
 	}
-	wants := placement.DesiredCopies(named(v), u.hallDemand(ctx, v))
-	for _, m := range placement.Plan(wants, engines, placement.DefaultLimits()) {
-		u.order(ctx, v, held, m)
+	desired := placement.DesiredCopies(namedCopies(v), u.hallDemand(ctx, v))
+	for _, m := range placement.Plan(desired, engines, placement.DefaultLimits()) {
+		u.sendOrder(ctx, v, term, m)
 	}
 }
 
-// named returns the copies that templates name, by how many workspaces do.
-func named(v *control.View) map[directory.Copy]int {
+// namedCopies returns the copies that templates name, each with the number of
+// workspaces that name it.
+func namedCopies(v *control.View) map[directory.Copy]int {
 	out := map[directory.Copy]int{}
 	for _, t := range v.Templates.Templates() {
 		for _, m := range t.Models {
@@ -63,11 +65,12 @@
 	return out
 }
 
-// hallDemand returns what callers of the hall ask for. The others are asked
-// once in a while only; a daemon that does not answer is left out, and makes
-// the part of its callers smaller until it is asked again.
+// hallDemand returns the demand of the hall's callers. The hall's daemons are
+// queried once per demand period; in between, the last result is returned. A
+// daemon that does not answer is left out, so that its callers have less weight
+// until the next query.
 func (u *Upkeep) hallDemand(ctx context.Context, v *control.View) placement.Demand {
-	if time.Since(u.demandAt) < u.periods.Demand {
+	if time.Since(u.demandUpdated) < u.periods.Demand {
 		return u.demand
 	}
 	sum, ok := control.Ask(ctx, u.loop, (*control.State).Demand)
@@ -75,43 +78,43 @@
 		return u.demand
 	}
 	others := slices.DeleteFunc(slices.Clone(v.LiveDaemons(v.Self.Hall)), func(a string) bool { return a == v.Self.Addr })
-	answers := make([]placement.Demand, len(others))
-	ctx, cancel := context.WithTimeout(ctx, demandTime)
+	demands := make([]placement.Demand, len(others))
+	ctx, cancel := context.WithTimeout(ctx, demandTimeout)
 	defer cancel()
 	var g errgroup.Group
-	g.SetLimit(demandAtOnce)
+	g.SetLimit(maxDemandCalls)
 	for i, a := range others {
 		g.Go(func() error {
 			d, err := u.peers.Demand(ctx, a)
 			if err == nil {
-				answers[i] = d
+				demands[i] = d
 			}
 			return nil
 		})
 	}
 	_ = g.Wait()
-	for _, d := range answers {
+	for _, d := range demands {
 		sum = sum.Plus(d)
 	}
-	u.demand, u.demandAt = sum, time.Now()
+	u.demand, u.demandUpdated = sum, time.Now()
 	return sum
 }
 
-// placeable returns the engines of the hall that are up, with what has been
-// ordered lately.
-func (u *Upkeep) placeable(v *control.View) []placement.Engine {
+// availableEngines returns the engines of the hall that are up, with the copies
+// that they hold and those that have been ordered recently.
+func (u *Upkeep) availableEngines(v *control.View) []placement.Engine {
 	var out []placement.Engine
 	for _, e := range v.Engines {
 		if e.Hall != v.Self.Hall || e.Status != directory.Up {
 			continue
 		}
 		p := placement.Engine{Addr: e.Addr, Live: e.Copies, Copies: slices.Clone(e.Copies)}
-		for o, until := range u.ordered {
+		for o, until := range u.orderedLoads {
 			if o.addr != e.Addr {
 				continue
 			}
 			if slices.Contains(e.Copies, o.copy) || time.Now().After(until) {
-				delete(u.ordered, o)
+				delete(u.orderedLoads, o)
 				continue
 			}
 			p.Copies = append(p.Copies, o.copy)
@@ -121,28 +124,28 @@
 	return out
 }
 
-// order gives one order. It looks at the lease once more right before, since
-// the daemon may have been paused; an engine that checks no fence gets orders
-// only after those of an earlier holder have run out.
-func (u *Upkeep) order(ctx context.Context, v *control.View, held lease.Term, m placement.Move) {
-	if !v.ChecksFence(m.Addr) && boottime.Time().Before(held.OrdersFrom) {
+// sendOrder sends one order to an engine. It checks the lease again immediately
+// before, since the daemon may have been paused. An engine that does not check
+// the fence gets orders only after those of an earlier holder have expired.
+func (u *Upkeep) sendOrder(ctx context.Context, v *control.View, term lease.Term, m placement.Move) {
+	if !v.ChecksFence(m.Addr) && boottime.Time().Before(term.OrdersFrom) {
 		return
 	}
 	now, ok := u.lease.Held(boottime.Time())
-	if !ok || now.Fence != held.Fence {
+	if !ok || now.Fence != term.Fence {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := u.engines.Command(ctx, m.Addr, engine.Order{
-		Fence: held.Fence, Action: engine.Action(m.Action), Model: m.Copy.Model, Version: m.Copy.Version, Life: lease.OrderLifetime,
+		Fence: term.Fence, Action: engine.Action(m.Action), Model: m.Copy.Model, Version: m.Copy.Version, Life: lease.OrderLifetime,
 	})
 	if err != nil {
-		event.OrderFailed.Error(err, "engine", m.Addr, "action", m.Action, "fence", held.Fence)
+		event.OrderFailed.Error(err, "engine", m.Addr, "action", m.Action, "fence", term.Fence)
 		return
 	}
-	event.OrderGiven.Info("engine", m.Addr, "action", m.Action, "model", m.Copy.Model, "version", m.Copy.Version, "fence", held.Fence)
+	event.OrderGiven.Info("engine", m.Addr, "action", m.Action, "model", m.Copy.Model, "version", m.Copy.Version, "fence", term.Fence)
 	if m.Action == placement.Load {
-		u.ordered[ordered{m.Addr, m.Copy}] = time.Now().Add(orderedLife)
+		u.orderedLoads[orderedLoad{m.Addr, m.Copy}] = time.Now().Add(orderedLoadTTL)
 	}
 }
--- a/daemon/upkeep/start.go
+++ b/daemon/upkeep/start.go
@@ -12,28 +12,31 @@
 )
 
 const (
-	// startTimeout bounds one try of a daemon that has no templates yet.
+	// startTimeout limits one attempt to read templates while the daemon has
+	// none.
 	startTimeout = 20 * time.Second
-	// startPatience is how long it waits for others that have none either,
-	// before it reads the platform's snapshot itself.
-	startPatience = 8 * time.Second
-	// startPause is the longest pause before the same daemon is asked again.
-	startPause = 400 * time.Millisecond
-	// startChildren is how many daemons wait for the same one.
-	startChildren = 4
-	startKey      = "snapshot"
+	// maxStartWait is how long a daemon waits for others that have no templates
+	// either, before it reads the platform's snapshot itself.
+	maxStartWait = 8 * time.Second
+	// maxStartPause is the maximum pause before the same daemon is asked again.
+	maxStartPause = 400 * time.Millisecond
+	// startFanOut is the maximum number of daemons that wait for the same one.
+	startFanOut   = 4
+	startOrderKey = "snapshot"
 )
 
-// fetchInOrder is for a hall whose daemons all start at once, and reports
-// whether the templates came from another daemon. The daemons of the hall's
-// host list are put in an order that each works out alone: the first reads the
-// platform's snapshot, and each of the others waits for one that comes before
-// it. If that one does not answer, its own predecessor takes its place; who has
-// none left, or has waited long enough, reads the snapshot itself. Lists that
-// differ cost a few more reads and nothing else.
-func (u *Upkeep) fetchInOrder(ctx context.Context, number uint64) bool {
+// fetchInStartOrder reads the templates from another daemon of the hall while
+// all daemons of the hall start at once, and reports whether no read from the
+// platform is needed. Each daemon computes the same order of the daemons in the
+// hall's host list, without communication: the first one reads the platform's
+// snapshot, and each other one waits for a daemon that precedes it. If that
+// daemon does not answer, its own predecessor replaces it. A daemon without
+// remaining predecessors, or one that has waited for maxStartWait, reads the
+// snapshot itself. If the host lists of daemons differ, the only effect is a few
+// more reads.
+func (u *Upkeep) fetchInStartOrder(ctx context.Context, number uint64) bool {
 	before := predecessors(u.loop.View())
-	deadline := time.Now().Add(startPatience)
+	deadline := time.Now().Add(maxStartWait)
 	for len(before) > 0 && time.Now().Before(deadline) {
 		if u.fetchFrom(ctx, before[0]) != nil {
 			before = before[1:]
@@ -42,15 +45,15 @@
 		if u.loop.View().Templates.Number() >= number {
 			return true
 		}
-		if pause.UpTo(ctx, startPause) != nil {
-			return true // the next turn goes on
+		if pause.UpTo(ctx, maxStartPause) != nil {
+			return true // ctx has ended; the next run continues
 		}
 	}
 	return false
 }
 
-// predecessors returns the daemons for which this one waits, nearest first:
-// its parent in a tree over the hall's daemons, the parent's parent, and so on.
+// predecessors returns the daemons for which this one waits, nearest first: its
+// parent in a tree of the hall's daemons, the parent's parent, and so on.
 func predecessors(v *control.View) []string {
 	var entries []string
 	for _, h := range v.AllHosts() {
@@ -58,10 +61,10 @@
 			entries = append(entries, h.Addr)
 		}
 	}
-	order := route.Rank(startKey, entries)
+	order := route.Rank(startOrderKey, entries)
 	var out []string
 	for i := slices.Index(order, v.Self.Addr); i > 0; {
-		i = (i - 1) / startChildren
+		i = (i - 1) / startFanOut
 		out = append(out, order[i])
 	}
 	return out
--- a/daemon/upkeep/sweep.go
+++ b/daemon/upkeep/sweep.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	sweepPeriod = 10 * time.Second
-	sweepTime   = 2 * time.Second
+	sweepPeriod  = 10 * time.Second
+	sweepTimeout = 2 * time.Second
 )
 
-// sweep frees what engines that this daemon owns keep for owners that are
-// certainly gone.
+// sweep releases the memory that engines of this daemon reserve for owners that
+// certainly no longer exist.
 func (u *Upkeep) sweep(ctx context.Context) {
-	mine, _ := control.Ask(ctx, u.loop, (*control.State).OwnedAddrs)
+	owned, _ := control.Ask(ctx, u.loop, (*control.State).OwnedAddrs)
 	members := u.loop.View().Members
-	for _, addr := range mine {
-		ctx, cancel := context.WithTimeout(ctx, sweepTime)
+	for _, addr := range owned {
+		ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 		u.sweepEngine(ctx, addr, members)
 		cancel()
 	}
@@ -30,7 +30,7 @@
 func (u *Upkeep) sweepEngine(ctx context.Context, addr string, members []member.Member) {
 	hs, err := u.engines.Holdings(ctx, addr)
 	if err != nil {
-		return // the next sweep, or the expiry, will do it
+		return // retried by the next sweep; holdings also expire
 	}
 	for _, h := range orphans(hs, members) {
 		if u.engines.Release(ctx, addr, h.ID) == nil {
@@ -39,21 +39,21 @@
 	}
 }
 
-// orphans returns the holdings that nobody can be using: those past their
-// expiry, and those of an earlier life of a daemon that has restarted. A daemon
-// that is only thought dead may be cut off and alive; its holdings stay until
-// they expire, since it moves the expiry on while it lives.
+// orphans returns the holdings that no daemon can be using: those that have
+// expired, and those of an earlier incarnation of a daemon that has restarted. A
+// daemon that is considered dead may be alive but partitioned. Its holdings are
+// kept until they expire, since a live owner extends their expiry.
 func orphans(hs []engine.Holding, members []member.Member) []engine.Holding {
-	lives := map[string]uint64{}
+	incarnations := map[string]uint64{}
 	for _, m := range members {
-		lives[m.Addr] = m.Incarnation
+		incarnations[m.Addr] = m.Incarnation
 	}
 	var out []engine.Holding
 	for _, h := range hs {
 		if h.Kind == "stream" {
-			continue // ends with its connection
+			continue // released when its connection ends
 		}
-		if h.Expires <= 0 || lives[h.Owner] > h.Incarnation {
+		if h.Expires <= 0 || incarnations[h.Owner] > h.Incarnation {
 			out = append(out, h)
 		}
 	}
--- a/daemon/upkeep/templates.go
+++ b/daemon/upkeep/templates.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// templateTimeout bounds the read of the head, and what follows it.
+	// templateTimeout limits the read of the head. A complete run may take twice
+	// as long.
 	templateTimeout = 3 * time.Second
-	// askPeers is how many daemons are asked for changes that were heard of.
-	askPeers = 2
+	// maxPeersAsked is the number of daemons that are asked for missing changes.
+	maxPeersAsked = 2
 )
 
-// readTemplates brings the templates up to date: it reads the head, which is
-// one small row, and fetches what is missing, from another daemon if one has
-// it, or else from the table service. Where the platform can't be read, what
-// was heard from other daemons takes the place of the head.
+// readTemplates updates the templates. It reads the head, which is one small
+// row, and fetches the missing changes from another daemon that has them, or
+// else from the table service. If the platform does not answer, the highest
+// change number that other daemons have sent replaces the head.
 func (u *Upkeep) readTemplates(ctx context.Context) {
 	limit := 2 * templateTimeout
 	if u.loop.View().Templates.Number() == 0 {
@@ -28,43 +29,45 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	if heard, _ := control.Ask(ctx, u.loop, (*control.State).LatestTemplateNumber); heard > u.loop.View().Templates.Number() {
-		u.fetchFromPeers(ctx, heard) // first, since the platform may be silent
+	if latest, _ := control.Ask(ctx, u.loop, (*control.State).LatestTemplateNumber); latest > u.loop.View().Templates.Number() {
+		u.fetchFromPeers(ctx, latest) // before the head, since the platform may not answer
 	}
 	head, err := u.head(ctx)
-	heard, _ := control.Ask(ctx, u.loop, func(s *control.State) uint64 {
+	latest, _ := control.Ask(ctx, u.loop, func(s *control.State) uint64 {
 		s.SetPlatformReachable(err == nil)
 		s.ObserveTemplateNumber(head)
 		return s.LatestTemplateNumber()
 	})
-	known := u.loop.View().Templates.Number()
-	if heard <= known {
+	current := u.loop.View().Templates.Number()
+	if latest <= current {
 		return
 	}
-	if u.fetchFromPeers(ctx, heard) {
+	if u.fetchFromPeers(ctx, latest) {
 		return
 	}
 	if err != nil {
 		return
 	}
-	if known == 0 && u.fetchInOrder(ctx, heard) {
+	if current == 0 && u.fetchInStartOrder(ctx, latest) {
 		return
 	}
 	u.fetchFromPlatform(ctx, head)
 }
 
-// head reads the template head. It leaves time for what follows.
+// head reads the template head. Its timeout leaves time for the fetches that
+// follow.
 func (u *Upkeep) head(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, templateTimeout)
 	defer cancel()
 	return u.changes.Head(ctx)
 }
 
-// fetchFromPeers asks a few daemons, and reports whether number was reached.
+// fetchFromPeers fetches changes from a few daemons, and reports whether the
+// change number is now in force.
 func (u *Upkeep) fetchFromPeers(ctx context.Context, number uint64) bool {
-	from := u.others(ctx, askPeers, func(member.Member) bool { return true })
-	for _, f := range from {
-		_ = u.fetchFrom(ctx, f) // the next may have it
+	addrs := u.randomDaemons(ctx, maxPeersAsked, func(member.Member) bool { return true })
+	for _, a := range addrs {
+		_ = u.fetchFrom(ctx, a) // after an error, the next daemon is asked
 		if u.loop.View().Templates.Number() >= number {
 			return true
 		}
@@ -72,17 +75,18 @@
 	return false
 }
 
-// fetchFrom takes what one daemon has.
+// fetchFrom applies the changes that one daemon has and this one lacks.
 func (u *Upkeep) fetchFrom(ctx context.Context, addr string) error {
-	up, err := u.peers.Changes(ctx, addr, u.loop.View().Templates.Number())
+	update, err := u.peers.Changes(ctx, addr, u.loop.View().Templates.Number())
 	if err == nil {
-		u.move(ctx, up)
+		u.applyTemplates(ctx, update)
 	}
 	return err
 }
 
-// fetchFromPlatform reads pages of changes. A daemon that has nothing yet, or
-// that lags behind the start of the log, begins with the stored snapshot.
+// fetchFromPlatform reads the changes up to number from the log, in pages. A
+// daemon without templates, or one whose next change has been trimmed from the
+// log, loads the stored snapshot first.
 func (u *Upkeep) fetchFromPlatform(ctx context.Context, number uint64) {
 	if u.loop.View().Templates.Number() == 0 {
 		u.loadSnapshot(ctx)
@@ -95,27 +99,29 @@
 		if len(cs) > 0 && cs[0].Number > before+1 {
 			u.loadSnapshot(ctx)
 		} else {
-			u.move(ctx, template.Update{Changes: cs})
+			u.applyTemplates(ctx, template.Update{Changes: cs})
 		}
 		after := u.loop.View().Templates.Number()
 		if after == before {
-			return // nothing there yet
+			return // the changes are not in the log yet
 		}
 		before = after
 	}
 }
 
+// loadSnapshot applies the stored snapshot if it is newer than the templates in
+// force.
 func (u *Upkeep) loadSnapshot(ctx context.Context) {
-	b, err := u.changes.LoadSnapshot(ctx)
-	if err != nil || b.Number() <= u.loop.View().Templates.Number() {
+	snapshot, err := u.changes.LoadSnapshot(ctx)
+	if err != nil || snapshot.Number() <= u.loop.View().Templates.Number() {
 		return
 	}
-	event.SnapshotLoaded.Info("number", b.Number())
-	u.move(ctx, template.Update{Snapshot: b})
+	event.SnapshotLoaded.Info("number", snapshot.Number())
+	u.applyTemplates(ctx, template.Update{Snapshot: snapshot})
 }
 
-// move puts an update in force and waits until traffic sees it.
-func (u *Upkeep) move(ctx context.Context, up template.Update) {
-	u.loop.Do(ctx, func(s *control.State) { s.UpdateTemplates(up) })
-	u.loop.Do(ctx, func(*control.State) {}) // the view is out once this has run
+// applyTemplates puts an update in force and returns once the view shows it.
+func (u *Upkeep) applyTemplates(ctx context.Context, update template.Update) {
+	u.loop.Do(ctx, func(s *control.State) { s.UpdateTemplates(update) })
+	u.loop.Do(ctx, func(*control.State) {}) // the view is published once this has run
 }
--- a/daemon/upkeep/templates_test.go
+++ b/daemon/upkeep/templates_test.go
@@ -13,15 +13,16 @@
 	"slipcrank.example/daemon/control"
 )
 
-// TestFetchFromPlatform has a daemon that knows some changes fetch the rest,
-// from a log that may have been trimmed beyond what it knows.
+// TestFetchFromPlatform checks that a daemon that has the first changes fetches
+// the rest from the platform, also if the log has been trimmed past its own last
+// change.
 func TestFetchFromPlatform(t *testing.T) {
-	const accepted, saved, reach = 30, 25, 5
-	for name, known := range map[string]int{"nothing": 0, "a little": 3, "the last of what was trimmed": 19, "most": 28, "all": 30} {
+	const accepted, saved, retention = 30, 25, 5
+	for name, applied := range map[string]int{"no changes": 0, "a few trimmed changes": 3, "all but the last trimmed change": 19, "most changes": 28, "all changes": 30} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			log := changes.New(store.NewMemory().Store(), changes.WithRetention(reach))
+			log := changes.New(store.NewMemory().Store(), changes.WithRetention(retention))
 			for i := range accepted {
 				x := template.Template{
 					Workspace: fmt.Sprint("w", i), CredentialSHA256: []string{strings.Repeat("ab", 32)},
@@ -39,16 +40,16 @@
 			if err := log.SaveSnapshot(ctx, template.NewSet().Apply(cs[:saved])); err != nil {
 				t.Fatal(err)
 			}
-			if n, err := log.Trim(ctx); n != saved-reach || err != nil {
-				t.Fatalf("%d changes were trimmed, %v", n, err)
+			if n, err := log.Trim(ctx); n != saved-retention || err != nil {
+				t.Fatalf("Trim deleted %d changes and returned the error %v", n, err)
 			}
 			l := control.New(member.Member{Addr: "127.0.0.1:7000", Hall: "oslo-a", Incarnation: 1})
 			go l.Run(ctx)
 			u := New(l, nil, WithChanges(log))
-			u.move(ctx, template.Update{Changes: cs[:known]})
+			u.applyTemplates(ctx, template.Update{Changes: cs[:applied]})
 			u.fetchFromPlatform(ctx, accepted)
-			if b := l.View().Templates; b.Number() != accepted || len(b.Templates()) != accepted {
-				t.Errorf("the daemon is at %d with %d templates, want %d", b.Number(), len(b.Templates()), accepted)
+			if ts := l.View().Templates; ts.Number() != accepted || len(ts.Templates()) != accepted {
+				t.Errorf("the daemon is at change %d with %d templates, want %d of both", ts.Number(), len(ts.Templates()), accepted)
 			}
 		})
 	}
