--- a/daemon/node/duties.go
+++ b/daemon/node/duties.go
@@ -15,36 +15,38 @@
 	"slipcrank.example/daemon/settings"
 )
 
-// batchers is how many daemons of a hall gather claims. With more, each
-// transaction holds fewer rows; with one, its loss would touch all claims.
-const batchers = 2
-
-// batcherOf returns the daemon of the hall that gathers a key's claims.
-func batcherOf(v *control.View, key string) string {
-	few := route.Rank("claims", v.LiveDaemons(v.Self.Hall))
-	return route.Owner(key, few[:min(batchers, len(few))])
+// batchersPerHall is the number of daemons of a hall that batch claims. With
+// more batchers each transaction has fewer rows; with one, its failure would
+// affect all claims.
+const batchersPerHall = 2
+
+// batcherFor returns the daemon of the hall that batches the claims of a key.
+func batcherFor(v *control.View, key string) string {
+	ranked := route.Rank("claims", v.LiveDaemons(v.Self.Hall))
+	return route.Owner(key, ranked[:min(batchersPerHall, len(ranked))])
 }
 
-// leaseName names a holder so that a restarted daemon is another one.
-func leaseName(m member.Member) string { return fmt.Sprintf("%s/%d", m.Addr, m.Incarnation) }
+// leaseHolderName returns the name under which a daemon holds leases. The name
+// includes the incarnation, so that a restarted daemon counts as another holder.
+func leaseHolderName(m member.Member) string { return fmt.Sprintf("%s/%d", m.Addr, m.Incarnation) }
 
-// loadTLS returns the configuration for connections between daemons, in which
-// each side checks the other's certificate, or nil if TLS is not set.
+// loadTLS returns the configuration of mutual TLS between daemons, or nil if TLS
+// is not configured.
 func loadTLS(t settings.TLS) (*tls.Config, error) {
 	if t.CertFile == "" {
 		return nil, nil
 	}
 	c, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
 	if err != nil {
-		return nil, badTLS("tls.cert_file or tls.key_file", err)
+		return nil, invalidTLS("tls.cert_file or tls.key_file", err)
 	}
 	b, err := os.ReadFile(t.CAFile)
 	if err != nil {
-		return nil, badTLS("tls.ca_file", err)
+		return nil, invalidTLS("tls.ca_file", err)
 	}
 	p := x509.NewCertPool()
 	if !p.AppendCertsFromPEM(b) {
-		return nil, badTLS("tls.ca_file", errors.New("no PEM certificate in it"))
+		return nil, invalidTLS("tls.ca_file", errors.New("the file contains no PEM certificate"))
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{c},
@@ -55,6 +57,7 @@
 	}, nil
 }
 
-func badTLS(key string, err error) error {
+// invalidTLS returns the error for a TLS setting.
+func invalidTLS(key string, err error) error {
 	return fault.Newf(fault.BadRequest, "give readable PEM files that belong together", "setting %s can't be used", key).WithCause(err)
 }
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -1,11 +1,11 @@
-// Package node puts a daemon together from its parts and runs it.
+// Package node assembles a daemon from its components and runs it.
 //
 // # Usage
 //
 //	n, err := node.New(settings)
 //	err = n.Start(ctx)
 //	<-signal
-//	err = n.Stop(ctx)   // a planned stop: cuts off nothing
+//	err = n.Stop(ctx)   // waits for requests in progress
 package node
 
 import (
@@ -41,44 +41,45 @@
 	"slipcrank.example/daemon/upkeep"
 )
 
-// engineQuiet is how long an engine may say nothing on a stream before it is
-// asked whether it lives.
-const engineQuiet = 2 * time.Second
+// livenessCheckDelay is how long an engine may send nothing on a stream before
+// its liveness is checked with a separate request.
+const livenessCheckDelay = 2 * time.Second
 
 // Node is one daemon.
 type Node struct {
-	settings   settings.Settings
-	listeners  listeners
-	loop       *control.Loop
-	client     *peers.Client
-	dispatcher *dispatch.Dispatcher
-	server     *peers.Server
-	batcher    *claim.Batcher
-	lease      *lease.Lease
-	upkeep     *upkeep.Upkeep
-	callers    *callers.Server
-	operators  *operators.Server
-	control    *web.Client // to the platform, and for polls of engines
-	streams    *web.Client // generations on engines
-	traffic    *web.Client // calls, and requests of the old site
-	pool       *ants.Pool
-	reach      func(addr string) bool
-	cancel     context.CancelFunc
+	settings      settings.Settings
+	listeners     listeners
+	loop          *control.Loop
+	peerClient    *peers.Client
+	dispatcher    *dispatch.Dispatcher
+	server        *peers.Server
+	batcher       *claim.Batcher
+	lease         *lease.Lease
+	upkeep        *upkeep.Upkeep
+	callers       *callers.Server
+	operators     *operators.Server
+	controlClient *web.Client // for the platform and for polls of engines
+	streamClient  *web.Client // for generations on engines
+	trafficClient *web.Client // for calls to services and requests to the old site
+	pool          *ants.Pool
+	reach         func(addr string) bool
+	cancel        context.CancelFunc
 }
 
-// Option changes a daemon under construction.
+// Option configures a Node during construction.
 type Option func(*Node)
 
-// WithReach sets a seam that says whether another daemon can be reached.
+// WithReach sets the function that reports whether another daemon can be reached,
+// by which tests simulate network partitions.
 func WithReach(f func(addr string) bool) Option { return func(n *Node) { n.reach = f } }
 
-// listeners are open before anything is built, so that a port may be chosen
-// by the system.
+// listeners holds the open ports. They are opened before the components are
+// built, because the system may choose the port numbers.
 type listeners struct {
 	callers, peers, operators net.Listener
 }
 
-// New builds a daemon and opens its ports. It does nothing until
+// New builds a daemon and opens its ports. The daemon does nothing until
 // [Node.Start].
 func New(s settings.Settings, os ...Option) (*Node, error) {
 	if err := s.Validate(); err != nil {
@@ -90,7 +91,7 @@
 	}
 	pool, err := ants.NewPool(s.Limits.Workers, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, errors.Wrap(err, "make the worker pool")
+		return nil, errors.Wrap(err, "create the worker pool")
 	}
 	n := &Node{settings: s, listeners: l, pool: pool, reach: func(string) bool { return true }}
 	for _, o := range os {
@@ -117,10 +118,10 @@
 func (n *Node) build() error {
 	s := n.settings
 	metrics := telemetry.NewMetrics()
-	n.control, n.traffic = web.New(), web.New()
-	polled := engine.New(n.control)
-	n.streams = web.New(web.WithAlive(engineQuiet, polled.Answers))
-	platform := tables.New(n.control, s.Platform)
+	n.controlClient, n.trafficClient = web.New(), web.New()
+	engines := engine.New(n.controlClient)
+	n.streamClient = web.New(web.WithAlive(livenessCheckDelay, engines.Answers))
+	platform := tables.New(n.controlClient, s.Platform)
 	log := changes.New(platform)
 	budgets := limit.NewRetryBudgets(s.Limits.RetryPart)
 	ring := dispatch.NewRing()
@@ -128,18 +129,18 @@
 		Addr: n.Peers(), Hall: s.Hall, Incarnation: uint64(time.Now().UnixNano()),
 	}
 	n.loop = control.New(self)
-	security, err := loadTLS(s.TLS)
+	tlsConfig, err := loadTLS(s.TLS)
 	if err != nil {
 		return err
 	}
-	n.client = peers.NewClient(peers.WithClientTLS(security), peers.WithReach(n.reach))
+	n.peerClient = peers.NewClient(peers.WithClientTLS(tlsConfig), peers.WithReach(n.reach))
 	n.batcher = claim.NewBatcher(platform)
-	n.server = peers.NewServer(n.loop, n.client, peers.WithBatcher(n.batcher.Write), peers.WithServerTLS(security),
+	n.server = peers.NewServer(n.loop, n.peerClient, peers.WithBatcher(n.batcher.Write), peers.WithServerTLS(tlsConfig),
 		peers.WithSuspects(func(rs []quarantine.Record) { n.dispatcher.HearSuspects(rs) }))
-	n.lease = lease.New(platform, "control/"+s.Hall, leaseName(self), lease.WithDuration(s.Periods.Lease), lease.WithNow(boottime.Time))
-	n.upkeep = upkeep.New(n.loop, n.client,
-		upkeep.WithEngines(polled),
-		upkeep.WithHosts(hosts.New(n.control, s.Platform)),
+	n.lease = lease.New(platform, "control/"+s.Hall, leaseHolderName(self), lease.WithDuration(s.Periods.Lease), lease.WithNow(boottime.Time))
+	n.upkeep = upkeep.New(n.loop, n.peerClient,
+		upkeep.WithEngines(engines),
+		upkeep.WithHosts(hosts.New(n.controlClient, s.Platform)),
 		upkeep.WithChanges(log),
 		upkeep.WithLease(n.lease),
 		upkeep.WithPool(n.pool),
@@ -147,56 +148,59 @@
 		upkeep.WithBootstrap(s.Bootstrap...),
 	)
 	once := calls.NewOnce(claim.New(platform, claim.WithWriter(n.claimWriter())), metrics, n.background)
-	n.dispatcher = dispatch.New(n.loop, n.client, engine.New(n.streams),
-		dispatch.WithSuspects(n.tellSuspects),
+	n.dispatcher = dispatch.New(n.loop, n.peerClient, engine.New(n.streamClient),
+		dispatch.WithSuspects(n.broadcastSuspects),
 		dispatch.WithBudgets(budgets), dispatch.WithMetrics(metrics), dispatch.WithRing(ring),
 		dispatch.WithBackground(n.background), dispatch.WithAttempts(s.Limits.MaxAttempts))
-	c := calls.New(n.loop, n.traffic, once, calls.WithBudgets(budgets), calls.WithAttempts(s.Limits.MaxAttempts))
+	c := calls.New(n.loop, n.trafficClient, once, calls.WithBudgets(budgets), calls.WithAttempts(s.Limits.MaxAttempts))
 	n.callers, err = callers.New(n.loop, n.dispatcher, c,
 		callers.WithLimits(s.Limits), callers.WithMetrics(metrics), callers.WithOnce(once),
-		callers.WithOldSite(oldsite.New(n.traffic)))
+		callers.WithOldSite(oldsite.New(n.trafficClient)))
 	n.operators = operators.New(n.loop, log, ring, metrics,
-		operators.WithDigest(s.OperatorTokenSHA256), operators.WithPeers(n.client),
+		operators.WithDigest(s.OperatorTokenSHA256), operators.WithPeers(n.peerClient),
 		operators.WithLeaseHolder(n.lease.Holder))
 	return err
 }
 
-// claimWriter writes claim rows through the hall's batcher, which is on the
-// daemon that a key is hashed to. If that one can't be reached, the outcome
-// of the write is unknown and the register reads back.
+// claimWriter returns a writer that sends claim rows to the hall's batcher, on
+// the daemon to which the key is hashed. If that daemon can't be reached, the
+// result of the write is [claim.Unknown] and the claim registry reads the row
+// back.
 func (n *Node) claimWriter() claim.Writer {
 	return func(ctx context.Context, w store.Write) (claim.Result, uint64) {
 		v := n.loop.View()
-		g := batcherOf(v, w.Key)
+		g := batcherFor(v, w.Key)
 		if g == v.Self.Addr || g == "" {
 			return n.batcher.Write(ctx, w)
 		}
-		return n.client.Claim(ctx, g, w)
+		return n.peerClient.Claim(ctx, g, w)
 	}
 }
 
-// tellSuspects tells all other daemons of requests under which engines ended. Who
-// can't be reached learns of them by an engine of its own.
-func (n *Node) tellSuspects(rs []quarantine.Record) {
+// broadcastSuspects sends records of suspects to all other daemons. A daemon that
+// can't be reached only learns of a suspect when one of its own engines crashes.
+func (n *Node) broadcastSuspects(rs []quarantine.Record) {
 	v := n.loop.View()
 	for _, m := range v.Members {
 		if m.Addr == v.Self.Addr {
 			continue
 		}
 		n.background(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), suspectsTimeout)
 			defer cancel()
-			if err := n.client.SendSuspects(ctx, m.Addr, rs); err != nil {
+			if err := n.peerClient.SendSuspects(ctx, m.Addr, rs); err != nil {
 				event.SuspectUnusable.Warn("daemon", m.Addr, "error", err)
 			}
 		})
 	}
 }
 
-// tellTimeout bounds telling one daemon: several ways between halls.
-const tellTimeout = 500 * time.Millisecond
+// suspectsTimeout limits the call to one daemon. It allows for several round
+// trips between halls.
+const suspectsTimeout = 500 * time.Millisecond
 
-// background runs what nobody waits for, on the pool if it has room.
+// background runs f, which nobody waits for, on the pool if a worker is free, or
+// else on a new goroutine.
 func (n *Node) background(f func()) {
 	if n.pool.Submit(f) != nil {
 		go f()
@@ -220,7 +224,8 @@
 // Callers returns the address for callers.
 func (n *Node) Callers() string { return n.listeners.callers.Addr().String() }
 
-// Peers returns the address by which other daemons know this one.
+// Peers returns the address under which other daemons reach this one: the
+// advertised address, or else that of the listener.
 func (n *Node) Peers() string {
 	if a := n.settings.Advertise.Peers; a != "" {
 		return a
@@ -231,13 +236,13 @@
 // Operators returns the address for operators.
 func (n *Node) Operators() string { return n.listeners.operators.Addr().String() }
 
-// Bytes returns how many bytes were sent and received for control: to other
-// daemons, on the connections that this daemon opened, and to the platform
-// and the engines that it polls.
-func (n *Node) Bytes() (peers, outside int64) { return n.client.Bytes(), n.control.Bytes() }
+// Bytes returns the number of bytes sent and received by the control plane: to
+// and from other daemons, on the connections that this daemon opened, and to and
+// from the platform and the engines that this daemon polls.
+func (n *Node) Bytes() (peers, outside int64) { return n.peerClient.Bytes(), n.controlClient.Bytes() }
 
-// Client returns the client for other daemons.
-func (n *Node) Client() *peers.Client { return n.client }
+// Client returns the client of the other daemons.
+func (n *Node) Client() *peers.Client { return n.peerClient }
 
 // Loop returns the control loop.
 func (n *Node) Loop() *control.Loop { return n.loop }
--- a/daemon/node/stop.go
+++ b/daemon/node/stop.go
@@ -12,20 +12,22 @@
 )
 
 const (
-	// waitPeriod is how often a stopping daemon looks whether it may go.
-	waitPeriod = 100 * time.Millisecond
-	// sayPeriod is how often it says what it waits for.
-	sayPeriod = 10 * time.Second
-	closeTime = 5 * time.Second
+	// drainPollPeriod is how often a stopping daemon checks for requests in
+	// progress.
+	drainPollPeriod = 100 * time.Millisecond
+	// drainLogPeriod is how often a stopping daemon logs their number.
+	drainLogPeriod = 10 * time.Second
+	closeTimeout   = 5 * time.Second
 )
 
-// ErrCutOff is a stop that ended requests in progress, since they ran longer
-// than drain.limit.
-var ErrCutOff = errors.New("requests in progress were cut off at drain.limit")
+// ErrDrainTimeout is returned by [Node.Stop] if requests were still in progress
+// when drain.limit had passed or the context ended, and were cut off.
+var ErrDrainTimeout = errors.New("requests in progress were cut off at drain.limit")
 
-// Stop is a planned stop. The daemon first answers that it is not ready, and
-// goes on serving while the balancer notices; then it refuses new requests,
-// hands over its duties, and lets those in progress run to their end.
+// Stop performs a planned stop. The daemon fails its readiness check and hands
+// over its duties, but keeps serving for drain.notice so that the load balancer
+// notices. Then it refuses new requests and waits for those in progress. Stop
+// returns [ErrDrainTimeout] if it had to cut off requests.
 func (n *Node) Stop(ctx context.Context) error {
 	event.DaemonDraining.Info("in_progress", n.callers.Open())
 	n.callers.Unready()
@@ -35,7 +37,7 @@
 	}
 	_ = pause.For(ctx, n.settings.Drain.Notice)
 	n.callers.Refuse()
-	err := n.drained(ctx)
+	err := n.awaitDrained(ctx)
 	n.Close()
 	if err != nil {
 		event.DaemonGaveUp.Error(err, "in_progress", n.callers.Open())
@@ -45,30 +47,30 @@
 	return nil
 }
 
-// drained waits until no request is in progress.
-func (n *Node) drained(ctx context.Context) error {
+// awaitDrained waits until no request is in progress, up to drain.limit.
+func (n *Node) awaitDrained(ctx context.Context) error {
 	limit := time.Now().Add(n.settings.Drain.Limit)
-	said := time.Time{}
+	lastLog := time.Time{}
 	for n.callers.Open() > 0 {
-		if time.Since(said) > sayPeriod {
+		if time.Since(lastLog) > drainLogPeriod {
 			event.DaemonWaiting.Info("in_progress", n.callers.Open(), "until", limit)
-			said = time.Now()
+			lastLog = time.Now()
 		}
 		if ctx.Err() != nil || time.Now().After(limit) {
-			return ErrCutOff
+			return ErrDrainTimeout
 		}
-		_ = pause.For(ctx, waitPeriod)
+		_ = pause.For(ctx, drainPollPeriod)
 	}
 	return nil
 }
 
-// Close stops the daemon at once, as a crash would, but closes its ports.
+// Close stops the daemon immediately, as a crash would, and closes its ports.
 func (n *Node) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	_ = n.callers.Close(ctx)
 	_ = n.operators.Close(ctx)
 	n.cancel()
-	n.client.Close()
+	n.peerClient.Close()
 	n.pool.Release()
 }
--- a/daemon/node/tls_test.go
+++ b/daemon/node/tls_test.go
@@ -26,7 +26,7 @@
 	"slipcrank.example/daemon/settings"
 )
 
-// authority signs certificates for the loopback address.
+// authority is a certificate authority for the loopback address.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -53,8 +53,8 @@
 	return authority{cert, key}
 }
 
-// files writes a certificate of a with its key, and the authority trusted, and
-// returns settings that name them.
+// files writes a certificate signed by a, its key, and the certificate of the
+// trusted authority, and returns settings with the paths of the three files.
 func (a authority) files(t *testing.T, trusted authority) settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -89,8 +89,8 @@
 	}
 }
 
-// load reads the files that settings name.
-func load(t *testing.T, s settings.TLS) *tls.Config {
+// loadConfig loads the TLS configuration of the settings.
+func loadConfig(t *testing.T, s settings.TLS) *tls.Config {
 	t.Helper()
 	c, err := loadTLS(s)
 	if err != nil {
@@ -99,17 +99,17 @@
 	return c
 }
 
-func TestDaemonsCheckEachOthersCertificates(t *testing.T) {
+func TestDaemonsVerifyEachOthersCertificates(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	for name, tc := range map[string]struct {
 		client *tls.Config
 		ok     bool
 	}{
-		"of the same authority":   {load(t, ours.files(t, ours)), true},
-		"of another authority":    {load(t, theirs.files(t, ours)), false},
-		"trusts another":          {load(t, ours.files(t, theirs)), false},
-		"without TLS":             {nil, false},
-		"without its certificate": {&tls.Config{RootCAs: load(t, ours.files(t, ours)).RootCAs, MinVersion: tls.VersionTLS13}, false},
+		"same authority": {loadConfig(t, ours.files(t, ours)), true},
+		"client certificate of another authority": {loadConfig(t, theirs.files(t, ours)), false},
+		"client trusts another authority":         {loadConfig(t, ours.files(t, theirs)), false},
+		"client without TLS":                      {nil, false},
+		"client without certificate":              {&tls.Config{RootCAs: loadConfig(t, ours.files(t, ours)).RootCAs, MinVersion: tls.VersionTLS13}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -120,35 +120,35 @@
 			}
 			loop := control.New(member.Member{Addr: l.Addr().String(), Hall: "a", Incarnation: 1})
 			go loop.Run(ctx)
-			peers.NewServer(loop, peers.NewClient(), peers.WithServerTLS(load(t, ours.files(t, ours)))).Serve(ctx, l)
+			peers.NewServer(loop, peers.NewClient(), peers.WithServerTLS(loadConfig(t, ours.files(t, ours)))).Serve(ctx, l)
 			c := peers.NewClient(peers.WithClientTLS(tc.client))
 			defer c.Close()
 			call, stop := context.WithTimeout(ctx, 10*time.Second)
 			defer stop()
 			if _, err := c.Ping(call, l.Addr().String(), "x", "a", control.Gossip{}); (err == nil) != tc.ok {
-				t.Errorf("the ping gave %v", err)
+				t.Errorf("the ping returned the error %v", err)
 			}
 		})
 	}
 }
 
-func TestBadFilesAreNamed(t *testing.T) {
+func TestErrorNamesInvalidTLSSetting(t *testing.T) {
 	a := newAuthority(t)
 	good, other := a.files(t, a), a.files(t, a)
 	for name, tc := range map[string]struct {
 		files settings.TLS
 		key   string
 	}{
-		"no certificate":      {settings.TLS{CertFile: good.CertFile + ".gone", KeyFile: good.KeyFile, CAFile: good.CAFile}, "tls.cert_file"},
-		"the key of another":  {settings.TLS{CertFile: good.CertFile, KeyFile: other.KeyFile, CAFile: good.CAFile}, "tls.key_file"},
-		"no authority":        {settings.TLS{CertFile: good.CertFile, KeyFile: good.KeyFile, CAFile: good.CAFile + ".gone"}, "tls.ca_file"},
-		"a key for authority": {settings.TLS{CertFile: good.CertFile, KeyFile: good.KeyFile, CAFile: good.KeyFile}, "tls.ca_file"},
+		"missing certificate file":   {settings.TLS{CertFile: good.CertFile + ".gone", KeyFile: good.KeyFile, CAFile: good.CAFile}, "tls.cert_file"},
+		"key of another certificate": {settings.TLS{CertFile: good.CertFile, KeyFile: other.KeyFile, CAFile: good.CAFile}, "tls.key_file"},
+		"missing CA file":            {settings.TLS{CertFile: good.CertFile, KeyFile: good.KeyFile, CAFile: good.CAFile + ".gone"}, "tls.ca_file"},
+		"key in the CA file":         {settings.TLS{CertFile: good.CertFile, KeyFile: good.KeyFile, CAFile: good.KeyFile}, "tls.ca_file"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := loadTLS(tc.files)
 			var f *fault.Error
 			if !errors.As(err, &f) || f.Kind() != fault.BadRequest || !strings.Contains(f.Error(), tc.key) {
-				t.Errorf("got %v, want a fault that names %s", err, tc.key)
+				t.Errorf("got error %v, want a fault of kind bad_request that names %s", err, tc.key)
 			}
 		})
 	}
