--- a/daemon/control/engine_test.go
+++ b/daemon/control/engine_test.go
@@ -23,27 +23,27 @@
 }
 
 func newTestLoop(t *testing.T, addr string) *testLoop {
-	c := &testLoop{t: t, now: time.Unix(1_000_000, 0)}
+	l := &testLoop{t: t, now: time.Unix(1_000_000, 0)}
 	self := member.Member{Addr: addr, Hall: "oslo-a", Incarnation: 1}
-	c.loop = control.New(self, control.WithClock(func() time.Time { return c.now }))
+	l.loop = control.New(self, control.WithClock(func() time.Time { return l.now }))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go c.loop.Run(ctx)
-	return c
+	go l.loop.Run(ctx)
+	return l
 }
 
-func (c *testLoop) do(f func(*control.State)) {
-	c.t.Helper()
-	if !c.loop.Do(context.Background(), f) {
-		c.t.Fatal("the loop has ended")
+func (l *testLoop) do(f func(*control.State)) {
+	l.t.Helper()
+	if !l.loop.Do(context.Background(), f) {
+		l.t.Fatal("the loop has ended")
 	}
 }
 
 // poll applies the same poll result to all due engines and returns their number.
-func (c *testLoop) poll(err error) int {
-	c.t.Helper()
+func (l *testLoop) poll(err error) int {
+	l.t.Helper()
 	polls := 0
-	c.do(func(s *control.State) {
+	l.do(func(s *control.State) {
 		for _, p := range s.DuePolls() {
 			polls++
 			s.ApplyPoll(control.PollResult{Addr: p.Addr, Err: err, Report: engine.Report{Incarnation: 1, TotalTokens: 1000}})
@@ -65,36 +65,36 @@
 		"in the host list":     {listed: true, polls: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newTestLoop(t, "127.0.0.1:7000")
+			l := newTestLoop(t, "127.0.0.1:7000")
 			list := []hosts.Host{{Addr: engineAddr, Hall: "oslo-a", Role: hosts.Engine}}
-			c.do(func(s *control.State) { s.SetHosts(list) })
-			c.poll(nil)
-			if e := c.loop.View().Engines; len(e) != 1 || e[0].Status != directory.Up {
+			l.do(func(s *control.State) { s.SetHosts(list) })
+			l.poll(nil)
+			if e := l.loop.View().Engines; len(e) != 1 || e[0].Status != directory.Up {
 				t.Fatalf("the directory has %v, want one engine that is up", e)
 			}
 			if !tc.listed {
-				c.do(func(s *control.State) { s.SetHosts(nil) })
+				l.do(func(s *control.State) { s.SetHosts(nil) })
 			}
-			c.poll(errNoAnswer)
-			c.poll(errNoAnswer)
+			l.poll(errNoAnswer)
+			l.poll(errNoAnswer)
 			var record directory.Engine
-			if es := c.loop.View().Engines; len(es) == 1 {
+			if es := l.loop.View().Engines; len(es) == 1 {
 				record = es[0]
 			}
 			if record.Status != directory.Down {
 				t.Fatalf("after two failed polls the engine is %v, want it down", record.Status)
 			}
-			c.now = c.now.Add(directory.DownLife)
-			c.poll(errNoAnswer)
+			l.now = l.now.Add(directory.DownLife)
+			l.poll(errNoAnswer)
 			// Daemons that remove the engine later still send its record.
-			c.do(func(s *control.State) { s.MergeEngines([]directory.Engine{record}) })
-			if es := c.loop.View().Engines; len(es) != 0 {
+			l.do(func(s *control.State) { s.MergeEngines([]directory.Engine{record}) })
+			if es := l.loop.View().Engines; len(es) != 0 {
 				t.Errorf("after %v down the directory still has %v", directory.DownLife, es)
 			}
-			if n := c.poll(errNoAnswer); n != tc.polls {
+			if n := l.poll(errNoAnswer); n != tc.polls {
 				t.Errorf("%d engines were polled, want %d", n, tc.polls)
 			}
-			if es := c.loop.View().Engines; len(es) != 0 {
+			if es := l.loop.View().Engines; len(es) != 0 {
 				t.Errorf("a failed poll added %v to the directory", es)
 			}
 		})
@@ -131,8 +131,8 @@
 		owner.poll(nil)
 	}
 	exchange()
-	for name, c := range map[string]*testLoop{"owner": owner, "other": other} {
-		if es := c.loop.View().Engines; len(es) != 1 || es[0].Status != directory.Up {
+	for name, l := range map[string]*testLoop{"owner": owner, "other": other} {
+		if es := l.loop.View().Engines; len(es) != 1 || es[0].Status != directory.Up {
 			t.Errorf("the directory of the %s has %v, want one engine that is up", name, es)
 		}
 	}
--- a/daemon/control/loop.go
+++ b/daemon/control/loop.go
@@ -86,16 +86,17 @@
 	return l
 }
 
-// Run owns the state until ctx ends.
+// Run owns the state, and runs the functions given to [Loop.Do], [Loop.Post] and
+// [Ask], until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	for {
 		select {
-		case w := <-l.inbox:
-			w.run(l.state)
+		case t := <-l.inbox:
+			t.run(l.state)
 			l.publish()
-			if w.done != nil {
-				w.done()
+			if t.done != nil {
+				t.done()
 			}
 		case <-ctx.Done():
 			return
@@ -103,6 +104,7 @@
 	}
 }
 
+// publish replaces the view if the state has changed.
 func (l *Loop) publish() {
 	if !l.state.dirty {
 		return
@@ -140,27 +142,27 @@
 // sees the change with the next command. Ask returns the zero value and false
 // if the loop or ctx ends first.
 func Ask[T any](ctx context.Context, l *Loop, f func(*State) T) (T, bool) {
-	var none T
+	var zero T
 	var answer T // written and read on the owning goroutine only
 	result := make(chan T, 1)
-	w := task{
+	t := task{
 		run:  func(s *State) { answer = f(s) },
 		done: func() { result <- answer },
 	}
 	select {
-	case l.inbox <- w:
+	case l.inbox <- t:
 	case <-ctx.Done():
-		return none, false
+		return zero, false
 	case <-l.done:
-		return none, false
+		return zero, false
 	}
 	select {
 	case v := <-result:
 		return v, true
 	case <-ctx.Done():
-		return none, false
+		return zero, false
 	case <-l.done:
-		return none, false
+		return zero, false
 	}
 }
 
--- a/daemon/control/owned.go
+++ b/daemon/control/owned.go
@@ -142,6 +142,7 @@
 	s.observe(o, s.recordOf(o, r))
 }
 
+// recordOf returns the record of an owned engine after a load report.
 func (s *State) recordOf(o *ownedEngine, r engine.Report) directory.Engine {
 	e := directory.Engine{
 		Addr:        o.record.Addr,
@@ -160,6 +161,7 @@
 	return e
 }
 
+// leavingInHostList reports whether the host list gives an address as leaving.
 func (s *State) leavingInHostList(addr string) bool {
 	for _, h := range s.hosts {
 		if h.Addr == addr {
@@ -169,6 +171,7 @@
 	return false
 }
 
+// applyEvents applies the cache events of a poll to the engine's prefix index.
 func applyEvents(o *ownedEngine, p PollResult) {
 	x := o.load.CacheIndex()
 	if p.Resync {
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -49,7 +49,8 @@
 	TemplateNumber uint64 // last template change in force at the sender
 }
 
-// platformState is the reachability of the platform's services.
+// platformState is the reachability of the platform, and the time since which it
+// has been the same.
 type platformState struct {
 	down  bool
 	since time.Time
@@ -102,8 +103,8 @@
 // Tick declares members dead whose suspicion has timed out, and removes engines
 // that have been down for [directory.DownLife].
 func (s *State) Tick() {
-	suspicions, engines := s.members.Tick(s.now()), s.engines.Tick(s.now())
-	s.dirty = s.dirty || suspicions || engines
+	members, engines := s.members.Tick(s.now()), s.engines.Tick(s.now())
+	s.dirty = s.dirty || members || engines
 }
 
 // MergeEngines merges records of engines.
@@ -173,13 +174,13 @@
 // UpdateTemplates applies u to the templates in force. Changes that they already
 // include have no effect, so the number of the last change never falls.
 func (s *State) UpdateTemplates(u template.Update) {
-	b, r := s.templates.Update(u, s.recentChanges)
-	if b.Number() == s.templates.Number() {
+	updated, recent := s.templates.Update(u, s.recentChanges)
+	if updated.Number() == s.templates.Number() {
 		return
 	}
-	event.TemplatesMoved.Info("from", s.templates.Number(), "to", b.Number())
-	s.templates, s.recentChanges, s.templatesSince, s.dirty = b, r, s.now(), true
-	s.ObserveTemplateNumber(b.Number())
+	event.TemplatesMoved.Info("from", s.templates.Number(), "to", updated.Number())
+	s.templates, s.recentChanges, s.templatesSince, s.dirty = updated, recent, s.now(), true
+	s.ObserveTemplateNumber(updated.Number())
 }
 
 // SetHosts replaces the platform's host list, and marks owned engines as leaving
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -207,7 +207,8 @@
 	}
 }
 
-// Start joins the fleet and serves until [Node.Stop].
+// Start starts the daemon's servers and periodic tasks, and returns. They run
+// until [Node.Stop] or [Node.Close] is called, or ctx ends.
 func (n *Node) Start(ctx context.Context) error {
 	ctx, n.cancel = context.WithCancel(ctx)
 	go n.loop.Run(ctx)
--- a/daemon/node/stop.go
+++ b/daemon/node/stop.go
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// Close stops the daemon immediately, as a crash would, and closes its ports.
+// Close stops the daemon without draining it, as a crash would, but closes its
+// ports. It waits at most closeTimeout for open connections.
 func (n *Node) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
