--- a/daemon/calls/calls.go
+++ b/daemon/calls/calls.go
@@ -139,7 +139,7 @@
 	if call.OldSite {
 		return c.loop.View().OldSite()
 	}
-	return c.loop.View().Hosts(call.Service)
+	return c.loop.View().ServiceHosts(call.Service)
 }
 
 // send sends a call to a host.
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -17,38 +17,40 @@
 )
 
 const (
-	// newsMembers and newsEngines bound what rides on one heartbeat.
-	newsMembers = 8
-	newsEngines = 6
+	// Maximum numbers of records that are attached to one heartbeat.
+	maxGossipMembers = 8
+	maxGossipEngines = 6
 )
 
-// State is the control state. Only the loop's goroutine touches it.
+// State is the control state. It is accessed only on the goroutine of
+// [Loop.Run].
 type State struct {
-	now      func() time.Time
-	random   *rand.Rand
-	members  *member.Table
-	engines  *directory.Directory
-	owned    map[string]*ownedEngine
-	hosts    []hosts.Host
-	hostsAt  time.Time
-	book     *template.Set
-	recent   template.RecentChanges
-	bookAt   time.Time
-	heard    uint64 // highest number of a template change heard of
-	platform platformState
-	demand   *placement.Meter
-	draining bool
-	dirty    bool
+	now            func() time.Time
+	random         *rand.Rand
+	members        *member.Table
+	engines        *directory.Directory
+	owned          map[string]*ownedEngine
+	hosts          []hosts.Host
+	hostsAt        time.Time
+	templates      *template.Set
+	recentChanges  template.RecentChanges
+	templatesSince time.Time
+	latestNumber   uint64 // highest number of a template change known to exist
+	platform       platformState
+	demand         *placement.Meter
+	draining       bool
+	dirty          bool
 }
 
-// News is what daemons tell each other in passing.
-type News struct {
+// Gossip holds the records that daemons exchange in heartbeats and syncs.
+type Gossip struct {
 	Members        []member.Member
 	Engines        []directory.Engine
-	TemplateNumber uint64
+	TemplateNumber uint64 // last template change in force at the sender
 }
 
-// platformState is what the daemon knows of the platform's service.
+// platformState is the reachability of the platform, and the time since which it
+// has been the same.
 type platformState struct {
 	down  bool
 	since time.Time
@@ -60,10 +62,10 @@
 // Random returns the loop's source of random numbers.
 func (s *State) Random() *rand.Rand { return s.random }
 
-// Members returns the table of members.
+// Members returns the membership list.
 func (s *State) Members() *member.Table { return s.members }
 
-// MergeMembers takes news of members.
+// MergeMembers merges records of members, and logs changes of their status.
 func (s *State) MergeMembers(ms []member.Member) {
 	for _, m := range ms {
 		before, known := s.members.Get(m.Addr)
@@ -89,21 +91,23 @@
 	}
 }
 
-// Silent says that a member did not answer.
-func (s *State) Silent(addr string) {
+// PingFailed records that a member answered neither directly nor through
+// others.
+func (s *State) PingFailed(addr string) {
 	if s.members.PingFailed(addr, s.now()) {
 		s.dirty = true
 		event.MemberSuspected.Info("member", addr)
 	}
 }
 
-// Tick lets old suspicions end, and forgets engines that stay down.
+// Tick declares members dead whose suspicion has timed out, and removes engines
+// that have been down for [directory.DownLife].
 func (s *State) Tick() {
-	suspicions, engines := s.members.Tick(s.now()), s.engines.Tick(s.now())
-	s.dirty = s.dirty || suspicions || engines
+	members, engines := s.members.Tick(s.now()), s.engines.Tick(s.now())
+	s.dirty = s.dirty || members || engines
 }
 
-// MergeEngines takes news of engines.
+// MergeEngines merges records of engines.
 func (s *State) MergeEngines(es []directory.Engine) {
 	for _, e := range es {
 		if s.engines.Merge(e) {
@@ -112,35 +116,36 @@
 	}
 }
 
-// News returns what rides on the next heartbeat.
-func (s *State) News() News {
-	return News{
-		Members:        s.members.Updates(newsMembers),
-		Engines:        s.engines.Updates(newsEngines, s.members.Len()),
-		TemplateNumber: s.book.Number(),
+// NextGossip returns the records to attach to the next heartbeat.
+func (s *State) NextGossip() Gossip {
+	return Gossip{
+		Members:        s.members.Updates(maxGossipMembers),
+		Engines:        s.engines.Updates(maxGossipEngines, s.members.Len()),
+		TemplateNumber: s.templates.Number(),
 	}
 }
 
-// All returns every member and engine, for a sync.
-func (s *State) All() News {
-	return News{Members: s.members.All(), Engines: s.engines.All(), TemplateNumber: s.book.Number()}
+// AllRecords returns the records of all members and engines, for a sync.
+func (s *State) AllRecords() Gossip {
+	return Gossip{Members: s.members.All(), Engines: s.engines.All(), TemplateNumber: s.templates.Number()}
 }
 
-// Take takes what another daemon has told.
-func (s *State) Take(n News) {
+// MergeGossip merges the records received from another daemon.
+func (s *State) MergeGossip(n Gossip) {
 	s.MergeMembers(n.Members)
 	s.MergeEngines(n.Engines)
-	s.HearNumber(n.TemplateNumber)
+	s.ObserveTemplateNumber(n.TemplateNumber)
 }
 
-// Known says that another daemon, picked at random, has the same records.
-func (s *State) Known() {
+// PeerInSync records that a randomly selected daemon has the same records.
+func (s *State) PeerInSync() {
 	s.members.PeerInSync()
 	s.engines.PeerInSync(s.members.Len())
 }
 
-// Digest names the state of all member and engine records: daemons with the
-// same records have the same digest.
+// Digest returns a hash of the member and engine records, so that daemons can
+// compare their records without sending them. Dead members and engines that are
+// down are left out, since each daemon removes them at a different time.
 func (s *State) Digest() uint64 {
 	d := xxhash.New()
 	var n [8]byte
@@ -153,7 +158,7 @@
 	}
 	for _, m := range s.members.All() {
 		if m.Status == member.Dead {
-			continue // each daemon forgets the dead in its own time
+			continue
 		}
 		add(m.Addr, m.Incarnation, uint64(m.Revision), uint64(m.Status))
 	}
@@ -166,19 +171,20 @@
 	return d.Sum64()
 }
 
-// MoveBook moves the templates in force forward; what is older changes
-// nothing.
-func (s *State) MoveBook(u template.Update) {
-	b, r := s.book.Update(u, s.recent)
-	if b.Number() == s.book.Number() {
+// UpdateTemplates applies u to the templates in force. Changes that they already
+// include have no effect, so the number of the last change never falls.
+func (s *State) UpdateTemplates(u template.Update) {
+	updated, recent := s.templates.Update(u, s.recentChanges)
+	if updated.Number() == s.templates.Number() {
 		return
 	}
-	event.TemplatesMoved.Info("from", s.book.Number(), "to", b.Number())
-	s.book, s.recent, s.bookAt, s.dirty = b, r, s.now(), true
-	s.HearNumber(b.Number())
+	event.TemplatesMoved.Info("from", s.templates.Number(), "to", updated.Number())
+	s.templates, s.recentChanges, s.templatesSince, s.dirty = updated, recent, s.now(), true
+	s.ObserveTemplateNumber(updated.Number())
 }
 
-// SetHosts takes the platform's host list.
+// SetHosts replaces the platform's host list, and marks owned engines as leaving
+// that the list gives as leaving.
 func (s *State) SetHosts(hs []hosts.Host) {
 	s.hosts, s.hostsAt, s.dirty = hs, s.now(), true
 	for _, h := range hs {
@@ -191,8 +197,9 @@
 	}
 }
 
-// PlatformAnswered notes whether the platform answered a request.
-func (s *State) PlatformAnswered(ok bool) {
+// SetPlatformReachable records whether the last request to the platform was
+// answered.
+func (s *State) SetPlatformReachable(ok bool) {
 	if s.platform.down == !ok {
 		return
 	}
@@ -205,17 +212,18 @@
 	event.PlatformLost.Warn()
 }
 
-// Drain marks the daemon as leaving.
+// Drain marks the daemon as draining, and its member record as leaving.
 func (s *State) Drain() {
 	s.draining, s.dirty = true, true
 	s.members.Leave()
 }
 
-// offers returns the predictions of owned engines that can run p.
+// offers returns the offers of the owned engines that are up, hold the model of
+// p and have enough memory in total.
 func (s *State) offers(p route.Prompt) []route.Offer {
 	var out []route.Offer
 	for _, o := range s.owned {
-		if o.record.Status != directory.Up || !o.known || !o.record.Holds(p.Model, p.Version) {
+		if o.record.Status != directory.Up || !o.reported || !o.record.Holds(p.Model, p.Version) {
 			continue
 		}
 		if p.Memory() > o.record.TotalTokens {
@@ -226,24 +234,26 @@
 	return out
 }
 
-// Asked counts a request of this daemon's callers.
-func (s *State) Asked(c directory.Copy, tokens int) { s.demand.Add(c, tokens, s.now()) }
+// CountRequest adds the tokens of a request from this daemon's callers to the
+// demand for the copy c.
+func (s *State) CountRequest(c directory.Copy, tokens int) { s.demand.Add(c, tokens, s.now()) }
 
-// Demand returns what this daemon's callers ask for.
+// Demand returns the demand of this daemon's callers.
 func (s *State) Demand() placement.Demand { return s.demand.Demand(s.now()) }
 
-// HearNumber notes that somebody has template changes up to number.
-func (s *State) HearNumber(number uint64) { s.heard = max(s.heard, number) }
+// ObserveTemplateNumber records that template changes up to number exist.
+func (s *State) ObserveTemplateNumber(number uint64) { s.latestNumber = max(s.latestNumber, number) }
 
-// Heard returns the highest number of a template change that was heard of.
-func (s *State) Heard() uint64 { return s.heard }
+// LatestTemplateNumber returns the highest number of a template change that is
+// known to exist. The change need not be in force on this daemon yet.
+func (s *State) LatestTemplateNumber() uint64 { return s.latestNumber }
 
-// maxStrangers bounds the unknown daemons that are tried at once.
-const maxStrangers = 3
+// maxUnknownDaemons is the maximum number of daemons that UnknownDaemons returns.
+const maxUnknownDaemons = 3
 
-// Strangers returns a few daemons, from the settings and the host list, that
-// are not members yet.
-func (s *State) Strangers(bootstrap []string) []string {
+// UnknownDaemons returns random daemons from the host list and the bootstrap
+// addresses of the settings that are not members yet, or are dead members.
+func (s *State) UnknownDaemons(bootstrap []string) []string {
 	known := map[string]bool{}
 	for _, m := range s.members.All() {
 		known[m.Addr] = m.Status != member.Dead
@@ -264,5 +274,5 @@
 		}
 	}
 	s.random.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(maxStrangers, len(out))]
+	return out[:min(maxUnknownDaemons, len(out))]
 }
--- a/daemon/dispatch/place.go
+++ b/daemon/dispatch/place.go
@@ -96,12 +96,12 @@
 // wait, too little free memory or an ejected engine, it requests offers in the other
 // halls too.
 func (x *run) offers(ctx context.Context, v *control.View) []route.Offer {
-	home := x.requestOffers(ctx, v, v.Home(x.prompt.Model, x.prompt.Version))
+	home := x.requestOffers(ctx, v, v.LocalEngines(x.prompt.Model, x.prompt.Version))
 	best, _, ok := route.Choose(x.prompt, home, time.Now())
 	if ok && best.Wait < overflowThreshold && best.Fits && !best.Ejected {
 		return home
 	}
-	away := x.requestOffers(ctx, v, v.Away(x.prompt.Model, x.prompt.Version))
+	away := x.requestOffers(ctx, v, v.RemoteEngines(x.prompt.Model, x.prompt.Version))
 	for i := range away {
 		away[i].Wait += otherHallPenalty
 	}
@@ -111,7 +111,7 @@
 // requestOffers concurrently requests offers from some of the engines' owners. If
 // there are none, because the owners don't answer or are too new to have data about
 // their engines, it falls back to the load reports of two engines.
-func (x *run) requestOffers(ctx context.Context, v *control.View, g *control.Group) []route.Offer {
+func (x *run) requestOffers(ctx context.Context, v *control.View, g *control.EngineSet) []route.Offer {
 	if g.Len() == 0 {
 		return nil
 	}
@@ -137,7 +137,7 @@
 // of the prompt's first block maps, so that prompts with equal prefixes are sent to
 // the same engine, and random others. It examines only a few engines, however many
 // there are.
-func (x *run) sampleOwners(g *control.Group) []string {
+func (x *run) sampleOwners(g *control.EngineSet) []string {
 	out := make([]string, 0, maxSampledOwners)
 	add := func(i int) {
 		c := g.At(i)
@@ -146,7 +146,7 @@
 		}
 	}
 	if len(x.request.Chain) > 0 {
-		add(g.Near(x.request.Chain[0]))
+		add(g.ByHash(x.request.Chain[0]))
 	}
 	if g.Len() <= maxSampledEngines {
 		for _, i := range rand.Perm(g.Len()) {
@@ -176,7 +176,7 @@
 
 // offersFromReports makes offers from the load reports, which lag, of two random
 // engines.
-func (x *run) offersFromReports(ctx context.Context, g *control.Group) []route.Offer {
+func (x *run) offersFromReports(ctx context.Context, g *control.EngineSet) []route.Offer {
 	x.metrics.Count("placed_without_owner_total", 1)
 	var out []route.Offer
 	for range maxFallbackTries {
