--- a/clients/engine/client.go
+++ b/clients/engine/client.go
@@ -37,9 +37,9 @@
 var (
 	// ErrTruncated is a stream that ended without the engine's end marker.
 	ErrTruncated = errors.New("the engine's stream ended without its end marker")
-	// ErrCrossed is a piece that belongs to another request, attempt or
+	// ErrForeignPiece is a piece that belongs to another request, attempt or
 	// incarnation.
-	ErrCrossed = errors.New("the engine sent a piece of another attempt")
+	ErrForeignPiece = errors.New("the engine sent a piece of another attempt")
 	// ErrBusy is an engine that refused a request because it is full.
 	ErrBusy = errors.New("the engine has no room for the request")
 	// ErrFenced is an order that the engine refused for its old fence.
@@ -95,10 +95,10 @@
 	return r, err
 }
 
-// Answers reports whether the engine at addr answers at all, by asking for its
+// Alive reports whether the engine at addr answers at all, by asking for its
 // load report up to twice. Many who ask about the same engine at the same time
 // cause one question.
-func (c *Client) Answers(addr string) bool {
+func (c *Client) Alive(addr string) bool {
 	ok, _, _ := c.asking.Do(addr, func() (any, error) {
 		for range questions {
 			ctx, cancel := context.WithTimeout(context.Background(), questionTime)
@@ -186,8 +186,8 @@
 	r.Header.Set(HeaderVersion, g.Version)
 	r.Header.Set(HeaderPriority, strconv.FormatInt(g.Priority, 10))
 	r.Header.Set(HeaderResume, strconv.Itoa(g.Resume))
-	if g.Holds != "" {
-		r.Header.Set(HeaderHolds, g.Holds)
+	if g.ReservationID != "" {
+		r.Header.Set(HeaderReservation, g.ReservationID)
 	}
 	if !g.Deadline.IsZero() {
 		r.Header.Set(HeaderDeadline, strconv.FormatInt(time.Until(g.Deadline).Milliseconds(), 10))
--- a/clients/engine/stream.go
+++ b/clients/engine/stream.go
@@ -43,7 +43,7 @@
 
 // Next returns the next piece, in order and without a gap or a repeat. It
 // returns io.EOF only after the engine's end marker, and [ErrTruncated],
-// [ErrCrossed] or an I/O error otherwise.
+// [ErrForeignPiece] or an I/O error otherwise.
 func (s *Stream) Next() (Piece, error) {
 	for {
 		line, err := s.lines.ReadSlice('\n')
@@ -77,7 +77,7 @@
 		s.born = p.Incarnation
 	}
 	if p.Request != s.request || p.Attempt != s.attempt || p.Incarnation != s.born {
-		return Piece{}, false, ErrCrossed
+		return Piece{}, false, ErrForeignPiece
 	}
 	if p.End {
 		if p.Offset != s.offset {
--- a/clients/engine/stream_test.go
+++ b/clients/engine/stream_test.go
@@ -35,8 +35,8 @@
 		"done without end":    {piece("a", 1, 0, text) + "data: [DONE]\n\n", 1, engine.ErrTruncated},
 		"a gap":               {piece("a", 1, 0, text) + piece("a", 1, 2, text), 1, engine.ErrTruncated},
 		"end too soon":        {piece("a", 1, 0, text) + piece("a", 1, 2, end), 1, engine.ErrTruncated},
-		"another attempt":     {piece("b", 1, 0, text), 0, engine.ErrCrossed},
-		"another incarnation": {piece("a", 1, 0, text) + piece("a", 2, 1, text), 1, engine.ErrCrossed},
+		"another attempt":     {piece("b", 1, 0, text), 0, engine.ErrForeignPiece},
+		"another incarnation": {piece("a", 1, 0, text) + piece("a", 2, 1, text), 1, engine.ErrForeignPiece},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/clients/engine/types.go
+++ b/clients/engine/types.go
@@ -4,13 +4,13 @@
 
 // Header names of a generation request, beside the caller's own body.
 const (
-	HeaderRequest  = "X-Request-Id"
-	HeaderAttempt  = "Slipcrank-Attempt"
-	HeaderPriority = "X-Priority"
-	HeaderVersion  = "X-Model-Version"
-	HeaderResume   = "X-Resume-Offset"
-	HeaderDeadline = "X-Deadline-Ms"
-	HeaderHolds    = "X-Reservation"
+	HeaderRequest     = "X-Request-Id"
+	HeaderAttempt     = "Slipcrank-Attempt"
+	HeaderPriority    = "X-Priority"
+	HeaderVersion     = "X-Model-Version"
+	HeaderResume      = "X-Resume-Offset"
+	HeaderDeadline    = "X-Deadline-Ms"
+	HeaderReservation = "X-Reservation"
 )
 
 // Action is what an order asks an engine to do.
@@ -81,7 +81,7 @@
 		Model   string        `json:"model,omitempty"`
 		Version string        `json:"version,omitempty"`
 		Role    Role          `json:"role,omitempty"`
-		Life    time.Duration `json:"life"` // the order is void after this time
+		TTL     time.Duration `json:"life"` // the order is void after this time
 	}
 
 	// Holding is KV memory that an engine keeps for somebody.
@@ -112,14 +112,14 @@
 
 	// Request is a generation request for one attempt on one engine.
 	Request struct {
-		Path     string // as the caller's client speaks it
-		Body     []byte // the caller's own JSON; not copied
-		Request  string
-		Attempt  string
-		Version  string
-		Priority int64 // lower is more urgent
-		Resume   int   // offset of the first token wanted
-		Holds    string
-		Deadline time.Time
+		Path          string // as the caller's client speaks it
+		Body          []byte // the caller's own JSON; not copied
+		Request       string
+		Attempt       string
+		Version       string
+		Priority      int64 // lower is more urgent
+		Resume        int   // offset of the first token wanted
+		ReservationID string
+		Deadline      time.Time
 	}
 )
--- a/clients/web/alive_test.go
+++ b/clients/web/alive_test.go
@@ -23,7 +23,7 @@
 				_, _ = io.WriteString(w, good)
 				return true
 			})
-			c := web.New(web.WithAlive(time.Millisecond, func(a string) bool {
+			c := web.New(web.WithLivenessCheck(time.Millisecond, func(a string) bool {
 				asked <- struct{}{}
 				return alive && a == addr
 			}))
--- a/clients/web/client.go
+++ b/clients/web/client.go
@@ -6,12 +6,12 @@
 // closes before a byte of the answer came; that would run an unrepeatable
 // call twice, so it is switched off here. A read that brings nothing for the
 // stall time fails, so that a dead peer can't hold a stream for good. With
-// [WithAlive] it fails sooner if the peer does not answer another question
+// [WithLivenessCheck] it fails sooner if the peer does not answer another question
 // either, and one that works silently on a long prompt is left in peace.
 //
 // # Usage
 //
-//	c := web.New(web.WithStall(10 * time.Second))
+//	c := web.New(web.WithStallTimeout(10 * time.Second))
 //	var reply myReply
 //	err := c.JSON(ctx, "POST", "127.0.0.1:8100", "/table/commit", request, &reply)
 package web
@@ -72,15 +72,15 @@
 	HeaderCarrier struct{ Header *fasthttp.RequestHeader }
 )
 
-// WithStall sets the time after which a silent peer counts as gone.
-func WithStall(d time.Duration) Option { return func(c *Client) { c.stall = d } }
+// WithStallTimeout sets the time after which a silent peer counts as gone.
+func WithStallTimeout(d time.Duration) Option { return func(c *Client) { c.stall = d } }
 
 // WithNow sets the clock by which a request is too late to be sent.
 func WithNow(f func() time.Time) Option { return func(c *Client) { c.now = f } }
 
-// WithAlive sets what is asked whether a peer lives that has said nothing for
+// WithLivenessCheck sets what is asked whether a peer lives that has said nothing for
 // the time quiet while an answer is awaited.
-func WithAlive(quiet time.Duration, f func(addr string) bool) Option {
+func WithLivenessCheck(quiet time.Duration, f func(addr string) bool) Option {
 	return func(c *Client) { c.quiet, c.alive = quiet, f }
 }
 
@@ -149,7 +149,7 @@
 			return n, err
 		}
 		if !s.alive(s.addr) {
-			return 0, ErrSilent
+			return 0, ErrUnresponsive
 		}
 	}
 }
@@ -179,7 +179,7 @@
 // isn't carried out after its caller gave it up.
 func (s *stallConn) Close() error {
 	if s.waiting.Load() {
-		Reset(s.Conn)
+		ResetOnClose(s.Conn)
 	}
 	return s.Conn.Close()
 }
--- a/clients/web/client_test.go
+++ b/clients/web/client_test.go
@@ -139,7 +139,7 @@
 		<-hold
 		return false
 	})
-	c := web.New(web.WithStall(50 * time.Millisecond))
+	c := web.New(web.WithStallTimeout(50 * time.Millisecond))
 	if err := c.JSON(context.Background(), http.MethodGet, addr, "/", nil, nil); err == nil {
 		t.Error("a silent peer gave no error")
 	}
--- a/clients/web/status.go
+++ b/clients/web/status.go
@@ -12,9 +12,9 @@
 // over first.
 var ErrTooLate = errors.New("the time for the request was over before it was sent")
 
-// ErrSilent is a peer that said nothing for a while, and did not answer when it
+// ErrUnresponsive is a peer that said nothing for a while, and did not answer when it
 // was asked whether it lives.
-var ErrSilent = errors.New("the peer has fallen silent")
+var ErrUnresponsive = errors.New("the peer has fallen silent")
 
 // StatusError is an answer with a status other than 200.
 type StatusError struct {
--- a/cmd/devel/crossover_test.go
+++ b/cmd/devel/crossover_test.go
@@ -52,7 +52,7 @@
 		}
 		for _, n := range f.Nodes {
 			status, body := post(t, n.Callers(), "/v1/completions", "till", prompt(t, "hello", 2, i%2 == 0), map[string]string{"X-Stable-Key": key})
-			if got := strings.Contains(body, oldsite.Word); status != http.StatusOK || got != want {
+			if got := strings.Contains(body, oldsite.TokenText); status != http.StatusOK || got != want {
 				t.Errorf("key %s: status %d, old site %v, want %v", key, status, got, want)
 			}
 		}
--- a/cmd/devel/devel.go
+++ b/cmd/devel/devel.go
@@ -156,7 +156,7 @@
 		for range f.engines {
 			ctx, kill := context.WithCancel(ctx)
 			e := engine.New(engine.WithParams(f.params), engine.WithCopies(protocol.Copy{Model: Model, Version: Version}),
-				engine.WithDeadly(f.deadly(kill)))
+				engine.WithFatalPrompts(f.deadly(kill)))
 			f.kills = append(f.kills, kill)
 			a, err := e.Serve(ctx, "127.0.0.1:0")
 			if err != nil {
--- a/cmd/devel/once_test.go
+++ b/cmd/devel/once_test.go
@@ -54,7 +54,7 @@
 		devel.WithPlatform(platform.WithFault(x.draw)),
 		devel.WithRunner(
 			runner.WithDelay(func(key string) time.Duration { return time.Duration(key[35]%4) * 5 * time.Millisecond }),
-			runner.WithClose(func(key string) bool { return key[34]%8 == 0 }),
+			runner.WithCloseConn(func(key string) bool { return key[34]%8 == 0 }),
 		))
 	x.start()
 	type seen struct {
--- a/cmd/load/client.go
+++ b/cmd/load/client.go
@@ -53,7 +53,9 @@
 	}
 )
 
-func newClient(p Plan) *client { return &client{plan: p, web: web.New(web.WithStall(p.Deadline))} }
+func newClient(p Plan) *client {
+	return &client{plan: p, web: web.New(web.WithStallTimeout(p.Deadline))}
+}
 
 // Stream sends one streamed completion of a short prompt to an entry host, and
 // calls first when its first token is there. It returns an error unless the
--- a/daemon/dispatch/stream.go
+++ b/daemon/dispatch/stream.go
@@ -17,15 +17,15 @@
 func (x *run) stream(ctx context.Context, attempt string, o route.Offer) (time.Duration, error) {
 	started := time.Now()
 	s, err := x.engines.Generate(ctx, o.Addr, engine.Request{
-		Path:     x.request.Path,
-		Body:     x.request.Body,
-		Request:  x.request.ID,
-		Attempt:  attempt,
-		Version:  x.request.Model.Version,
-		Priority: x.prompt.WithDelay(o.FairnessDelay).Priority,
-		Resume:   x.nextOffset,
-		Holds:    x.reservationID,
-		Deadline: x.request.Deadline,
+		Path:          x.request.Path,
+		Body:          x.request.Body,
+		Request:       x.request.ID,
+		Attempt:       attempt,
+		Version:       x.request.Model.Version,
+		Priority:      x.prompt.WithDelay(o.FairnessDelay).Priority,
+		Resume:        x.nextOffset,
+		ReservationID: x.reservationID,
+		Deadline:      x.request.Deadline,
 	})
 	if err != nil {
 		return 0, err
@@ -48,7 +48,7 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			return first, nil
-		case errors.Is(err, engine.ErrCrossed):
+		case errors.Is(err, engine.ErrForeignPiece):
 			event.PieceDropped.Warn("request", x.request.ID)
 			x.metrics.Count("pieces_dropped_total", 1)
 			return first, err
--- a/daemon/gateway/admit_test.go
+++ b/daemon/gateway/admit_test.go
@@ -126,7 +126,7 @@
 			if a.status != tc.status {
 				t.Errorf("status %d, want %d", a.status, tc.status)
 			}
-			if n := f.metrics.Counted("gateway_over_share", "workspace", "w1"); n != tc.refusals {
+			if n := f.metrics.CounterValue("gateway_over_share", "workspace", "w1"); n != tc.refusals {
 				t.Errorf("%d refusals counted, want %d", n, tc.refusals)
 			}
 		})
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -119,7 +119,7 @@
 	metrics := telemetry.NewMetrics()
 	n.control, n.traffic = web.New(), web.New()
 	polled := engine.New(n.control)
-	n.streams = web.New(web.WithAlive(engineQuiet, polled.Answers))
+	n.streams = web.New(web.WithLivenessCheck(engineQuiet, polled.Alive))
 	platform := tables.New(n.control, s.Platform)
 	log := changes.New(platform)
 	budgets := limit.NewRetryBudgets(s.Limits.RetryPart)
@@ -156,7 +156,7 @@
 		callers.WithLimits(s.Limits), callers.WithMetrics(metrics), callers.WithOnce(once),
 		callers.WithOldSite(oldsite.New(n.traffic)))
 	n.operators = operators.New(n.loop, log, ring, metrics,
-		operators.WithDigest(s.OperatorTokenSHA256), operators.WithPeers(n.client),
+		operators.WithTokenDigest(s.OperatorTokenSHA256), operators.WithPeers(n.client),
 		operators.WithLeaseHolder(n.lease.Holder))
 	return err
 }
--- a/daemon/operators/server.go
+++ b/daemon/operators/server.go
@@ -66,8 +66,8 @@
 	}
 )
 
-// WithDigest sets the hex SHA-256 of the operators' token.
-func WithDigest(d string) Option { return func(s *Server) { s.digest = d } }
+// WithTokenDigest sets the hex SHA-256 of the operators' token.
+func WithTokenDigest(d string) Option { return func(s *Server) { s.digest = d } }
 
 // WithPeers sets the client that asks other daemons for their versions.
 func WithPeers(c *peers.Client) Option { return func(s *Server) { s.peers = c } }
--- a/daemon/telemetry/metrics.go
+++ b/daemon/telemetry/metrics.go
@@ -39,8 +39,8 @@
 	metrics.GetOrRegisterCounter(full(name, labels), m.registry).Inc(n)
 }
 
-// Counted returns the value of a counter.
-func (m *Metrics) Counted(name string, labels ...string) int64 {
+// CounterValue returns the value of a counter.
+func (m *Metrics) CounterValue(name string, labels ...string) int64 {
 	return metrics.GetOrRegisterCounter(full(name, labels), m.registry).Count()
 }
 
--- a/daemon/upkeep/orders.go
+++ b/daemon/upkeep/orders.go
@@ -135,7 +135,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTime)
 	defer cancel()
 	err := u.engines.Command(ctx, m.Addr, engine.Order{
-		Fence: held.Fence, Action: engine.Action(m.Action), Model: m.Copy.Model, Version: m.Copy.Version, Life: lease.OrderLifetime,
+		Fence: held.Fence, Action: engine.Action(m.Action), Model: m.Copy.Model, Version: m.Copy.Version, TTL: lease.OrderLifetime,
 	})
 	if err != nil {
 		event.OrderFailed.Error(err, "engine", m.Addr, "action", m.Action, "fence", held.Fence)
--- a/daemon/upstream/conn.go
+++ b/daemon/upstream/conn.go
@@ -30,7 +30,7 @@
 // it has been abandoned, when the server may be leaving.
 func (c *conn) abort() {
 	if c.awaitingHead.Load() {
-		web.Reset(c.Conn)
+		web.ResetOnClose(c.Conn)
 	}
 	_ = c.Close()
 }
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -36,17 +36,17 @@
 type (
 	// Job is one attempt at a generation.
 	Job struct {
-		Request   string
-		Attempt   string
-		Model     string
-		Version   string   // any, if empty
-		Prompt    int      // tokens
-		Chain     []uint64 // names of the prompt's blocks
-		MaxTokens int
-		Resume    int
-		Priority  int64 // lower is more urgent
-		Seed      uint64
-		Holds     string // reservation that pays for the memory
+		Request       string
+		Attempt       string
+		Model         string
+		Version       string   // any, if empty
+		Prompt        int      // tokens
+		Chain         []uint64 // names of the prompt's blocks
+		MaxTokens     int
+		Resume        int
+		Priority      int64 // lower is more urgent
+		Seed          uint64
+		ReservationID string // reservation that pays for the memory
 	}
 
 	// Engine is the stand-in. Use [New].
@@ -130,7 +130,7 @@
 		return nil, ErrNoCopy
 	}
 	need := j.Prompt + j.MaxTokens
-	if need > e.capacityFor(j.Holds) {
+	if need > e.capacityFor(j.ReservationID) {
 		return nil, ErrTooLarge
 	}
 	e.arrived++
@@ -142,7 +142,7 @@
 		pending: j.Prompt,
 		memory:  need,
 	}
-	if _, ok := e.holds[j.Holds]; ok {
+	if _, ok := e.holds[j.ReservationID]; ok {
 		s.memory = 0 // the reservation has paid
 	}
 	e.waiting = append(e.waiting, s)
--- a/standin/engine/link.go
+++ b/standin/engine/link.go
@@ -47,7 +47,7 @@
 // stuck reports whether a stream needs memory that another engine has lost. It
 // makes no progress then, and is not ended by the engine.
 func (e *Engine) stuck(s *stream) bool {
-	return slices.ContainsFunc(e.links[s.job.Holds], func(l link) bool { return l.broken })
+	return slices.ContainsFunc(e.links[s.job.ReservationID], func(l link) bool { return l.broken })
 }
 
 // importFrom links the holding of another engine to the one here.
--- a/standin/engine/params.go
+++ b/standin/engine/params.go
@@ -60,9 +60,9 @@
 	return func(e *Engine) { e.copies = append(e.copies, cs...) }
 }
 
-// WithDeadly sets what is asked of each prompt as its run begins. If it returns
+// WithFatalPrompts sets what is asked of each prompt as its run begins. If it returns
 // true, the engine runs it no further: whoever asked has to end the engine.
-func WithDeadly(f func(prompt string) bool) Option { return func(e *Engine) { e.deadly = f } }
+func WithFatalPrompts(f func(prompt string) bool) Option { return func(e *Engine) { e.deadly = f } }
 
 // WithDropEvent sets a seam that says whether a cache event is lost.
 func WithDropEvent(f func(number uint64) bool) Option {
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -140,17 +140,17 @@
 		r.MaxTokens = defaultMaxTokens
 	}
 	return Job{
-		Request:   string(h.Peek(protocol.HeaderRequest)),
-		Attempt:   string(h.Peek(protocol.HeaderAttempt)),
-		Model:     r.Model,
-		Version:   string(h.Peek(protocol.HeaderVersion)),
-		Prompt:    prefix.Tokens(len(text)),
-		Chain:     prefix.Chain(r.Model, text),
-		MaxTokens: r.MaxTokens,
-		Resume:    int(number(protocol.HeaderResume)),
-		Priority:  number(protocol.HeaderPriority),
-		Seed:      xxhash.Sum64String(text),
-		Holds:     string(h.Peek(protocol.HeaderHolds)),
+		Request:       string(h.Peek(protocol.HeaderRequest)),
+		Attempt:       string(h.Peek(protocol.HeaderAttempt)),
+		Model:         r.Model,
+		Version:       string(h.Peek(protocol.HeaderVersion)),
+		Prompt:        prefix.Tokens(len(text)),
+		Chain:         prefix.Chain(r.Model, text),
+		MaxTokens:     r.MaxTokens,
+		Resume:        int(number(protocol.HeaderResume)),
+		Priority:      number(protocol.HeaderPriority),
+		Seed:          xxhash.Sum64String(text),
+		ReservationID: string(h.Peek(protocol.HeaderReservation)),
 	}
 }
 
--- a/standin/oldsite/oldsite.go
+++ b/standin/oldsite/oldsite.go
@@ -22,8 +22,8 @@
 	"slipcrank.example/standin/runner"
 )
 
-// Word is what each token of the old site's answers says.
-const Word = "old "
+// TokenText is what each token of the old site's answers says.
+const TokenText = "old "
 
 type (
 	// Site is the stand-in. Use [New].
@@ -77,13 +77,13 @@
 	if !r.Stream {
 		c.SetContentType("application/json")
 		c.SetBodyString(fmt.Sprintf(`{"object":"text_completion","choices":[{"index":0,"text":%q,"finish_reason":"length"}]}`,
-			strings.Repeat(Word, r.MaxTokens)))
+			strings.Repeat(TokenText, r.MaxTokens)))
 		return
 	}
 	c.SetContentType("text/event-stream")
 	c.SetBodyStreamWriter(func(w *bufio.Writer) {
 		for range r.MaxTokens {
-			fmt.Fprintf(w, "data: {\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%q}]}\n\n", Word)
+			fmt.Fprintf(w, "data: {\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":%q}]}\n\n", TokenText)
 			if w.Flush() != nil {
 				return
 			}
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -45,9 +45,9 @@
 // WithDelay sets a seam for the time that a call takes after it was counted.
 func WithDelay(f func(key string) time.Duration) Option { return func(r *Runner) { r.delay = f } }
 
-// WithClose sets a seam that says whether a call is counted and then its
+// WithCloseConn sets a seam that says whether a call is counted and then its
 // connection closed with no answer.
-func WithClose(f func(key string) bool) Option { return func(r *Runner) { r.close = f } }
+func WithCloseConn(f func(key string) bool) Option { return func(r *Runner) { r.close = f } }
 
 // New returns a runner that answers at once.
 func New(os ...Option) *Runner {
