--- a/clients/web/alive_test.go
+++ b/clients/web/alive_test.go
@@ -10,21 +10,22 @@
 	"slipcrank.example/clients/web"
 )
 
-// TestSilentPeerIsAskedWhetherItLives has a peer that answers only after it was
-// asked twice whether it lives.
-func TestSilentPeerIsAskedWhetherItLives(t *testing.T) {
-	for name, alive := range map[string]bool{"it lives and is slow": true, "it has gone": false} {
+// TestLivenessCheckOfSilentPeer uses a server that responds only after two
+// liveness checks. A request to a slow server must wait for the response; one to
+// a dead server must fail at the first check.
+func TestLivenessCheckOfSilentPeer(t *testing.T) {
+	for name, alive := range map[string]bool{"alive but slow": true, "dead": false} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan struct{}, 100)
+			checks := make(chan struct{}, 100)
 			addr, _ := serve(t, func(_ int64, w io.Writer) bool {
 				for range 2 {
-					<-asked
+					<-checks
 				}
 				_, _ = io.WriteString(w, good)
 				return true
 			})
 			c := web.New(web.WithLivenessCheck(time.Millisecond, func(a string) bool {
-				asked <- struct{}{}
+				checks <- struct{}{}
 				return alive && a == addr
 			}))
 			if err := c.JSON(context.Background(), http.MethodGet, addr, "/", nil, nil); (err == nil) != alive {
--- a/clients/web/body.go
+++ b/clients/web/body.go
@@ -7,20 +7,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrTruncated is an answer whose body ended before its stated length.
-var ErrTruncated = errors.New("the answer's body was cut off")
+// ErrTruncated is returned for a response whose body is shorter than its
+// Content-Length.
+var ErrTruncated = errors.New("response body truncated: shorter than its Content-Length")
 
-// ReadBody reads a whole body and closes its stream. The library's own Body
-// method puts a read error's text in the place of the body; here it is an
-// error, so that a cut answer is never taken for a whole one.
+// ReadBody reads the whole body of a response and closes its stream. It returns
+// read errors, whereas fasthttp's own Body method returns the text of a read
+// error as the body, so that a truncated response would look complete.
 func ReadBody(a *fasthttp.Response) ([]byte, error) {
 	s := a.BodyStream()
 	if s == nil {
 		return a.Body(), nil
 	}
 	b, err := io.ReadAll(s)
-	if c := a.CloseBodyStream(); err == nil {
-		err = c
+	if closeErr := a.CloseBodyStream(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "read body")
--- a/clients/web/client.go
+++ b/clients/web/client.go
@@ -1,13 +1,16 @@
-// Package web is the HTTP client with which daemons reach everything outside:
-// the platform, engines, plain services and the old site.
+// Package web is the HTTP client that daemons use for everything outside
+// slipcrank: the platform, engines, plain services and the old site.
 //
-// It wraps a fasthttp client and changes what does not fit the promises of
-// slipcrank. The library re-sends a request by itself when a kept connection
-// closes before a byte of the answer came; that would run an unrepeatable
-// call twice, so it is switched off here. A read that brings nothing for the
-// stall time fails, so that a dead peer can't hold a stream for good. With
-// [WithLivenessCheck] it fails sooner if the peer does not answer another question
-// either, and one that works silently on a long prompt is left in peace.
+// It wraps a fasthttp client and changes the following:
+//
+//   - It never retries. By default fasthttp sends a request again if a kept-alive
+//     connection closes before the first byte of the response, which would run a
+//     call that is not repeatable twice.
+//   - A read that receives no data for the stall timeout fails, so that a dead
+//     peer can't block a stream forever.
+//   - With [WithLivenessCheck], a read fails sooner if the peer is dead, and
+//     continues to wait for a peer that is alive, such as an engine that sends
+//     nothing while it processes a long prompt.
 //
 // # Usage
 //
@@ -43,45 +46,49 @@
 		http  *fasthttp.Client
 		stall time.Duration
 		now   func() time.Time
-		quiet time.Duration          // after which alive is asked
-		alive func(addr string) bool // nil if nobody can be asked
-		bytes atomic.Int64
+		// checkAfter is how long a read waits for data before it calls alive.
+		checkAfter time.Duration
+		alive      func(addr string) bool // nil for no liveness checks
+		bytes      atomic.Int64
 	}
 
-	// Option changes a client under construction.
+	// Option configures a [Client].
 	Option func(*Client)
 
-	// stallConn fails a read that brings nothing for the stall time, or
-	// until the deadline that the library set, whichever is sooner. It starts
-	// to write a request only if the time for it is not over by the clock.
+	// stallConn fails a read that receives no data within the stall timeout, or
+	// before the deadline that fasthttp set, whichever is earlier. It starts to
+	// write a request only before the deadline of the request, by its own clock.
 	stallConn struct {
 		net.Conn
-		addr     string
-		stall    time.Duration
-		now      func() time.Time
-		quiet    time.Duration
-		alive    func(addr string) bool
-		deadline atomic.Pointer[time.Time]
-		writeBy  time.Time // of the request that is written next; zero for none
-		// waiting says that a request was written and no answer to it has begun.
+		addr          string
+		stall         time.Duration
+		now           func() time.Time
+		checkAfter    time.Duration
+		alive         func(addr string) bool
+		readDeadline  atomic.Pointer[time.Time]
+		writeDeadline time.Time // of the next request; zero for none
+		// waiting is true from the write of a request until the first byte of its
+		// response.
 		waiting atomic.Bool
 		bytes   *atomic.Int64
 	}
 
-	// HeaderCarrier makes the headers of a request carry a trace.
+	// HeaderCarrier propagates trace contexts in the headers of a request.
 	HeaderCarrier struct{ Header *fasthttp.RequestHeader }
 )
 
-// WithStallTimeout sets the time after which a silent peer counts as gone.
+// WithStallTimeout sets how long a read may receive no data before it fails.
 func WithStallTimeout(d time.Duration) Option { return func(c *Client) { c.stall = d } }
 
-// WithNow sets the clock by which a request is too late to be sent.
+// WithNow sets the clock against which the deadline of a request is checked before
+// it is sent.
 func WithNow(f func() time.Time) Option { return func(c *Client) { c.now = f } }
 
-// WithLivenessCheck sets what is asked whether a peer lives that has said nothing for
-// the time quiet while an answer is awaited.
-func WithLivenessCheck(quiet time.Duration, f func(addr string) bool) Option {
-	return func(c *Client) { c.quiet, c.alive = quiet, f }
+// WithLivenessCheck sets a function that reports whether a peer is alive. It is
+// called each time that a read has received no data for the duration after, and
+// the read fails with [ErrUnresponsive] if it returns false.
+func WithLivenessCheck(after time.Duration, f func(addr string) bool) Option {
+	return func(c *Client) { c.checkAfter, c.alive = after, f }
 }
 
 // New returns a client.
@@ -104,40 +111,41 @@
 }
 
 func (c *Client) dial(addr string) (net.Conn, error) {
-	n, err := net.DialTimeout("tcp", addr, dialTimeout)
+	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &stallConn{Conn: n, addr: addr, stall: c.stall, now: c.now, quiet: c.quiet, alive: c.alive, bytes: &c.bytes}, nil
+	return &stallConn{Conn: conn, addr: addr, stall: c.stall, now: c.now, checkAfter: c.checkAfter, alive: c.alive, bytes: &c.bytes}, nil
 }
 
-// CloseIdle closes the kept connections that rest. Connections may fall silent all at
-// once and without a reset, while new ones work: each that is tried would cost its
-// caller the time of an answer.
+// CloseIdle closes the idle connections of the pool. All connections to a peer may
+// stop working at once and without a reset, while new ones work; each request on
+// such a connection would run into its timeout.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
-// Bytes returns how many bytes were sent and received.
+// Bytes returns the number of bytes sent and received.
 func (c *Client) Bytes() int64 { return c.bytes.Load() }
 
-// SetReadDeadline notes the library's deadline for the reads that follow.
+// SetReadDeadline stores the deadline that fasthttp sets, for the reads that
+// follow.
 func (s *stallConn) SetReadDeadline(t time.Time) error {
-	s.deadline.Store(&t)
+	s.readDeadline.Store(&t)
 	return nil
 }
 
-// Read waits at most the stall time for the next bytes, and less for those of
-// a peer that has gone.
+// Read waits for data until the stall timeout or the read deadline, and fails
+// earlier if a liveness check fails.
 func (s *stallConn) Read(b []byte) (int, error) {
-	by := time.Now().Add(s.stall)
-	if d := s.deadline.Load(); d != nil && !d.IsZero() && d.Before(by) {
-		by = *d
+	deadline := time.Now().Add(s.stall)
+	if d := s.readDeadline.Load(); d != nil && !d.IsZero() && d.Before(deadline) {
+		deadline = *d
 	}
 	for {
-		look := by
-		if ask := time.Now().Add(s.quiet); s.alive != nil && ask.Before(by) {
-			look = ask
+		next := deadline
+		if check := time.Now().Add(s.checkAfter); s.alive != nil && check.Before(deadline) {
+			next = check
 		}
-		if err := s.Conn.SetReadDeadline(look); err != nil {
+		if err := s.Conn.SetReadDeadline(next); err != nil {
 			return 0, err
 		}
 		n, err := s.Conn.Read(b)
@@ -145,7 +153,7 @@
 		if n > 0 {
 			s.waiting.Store(false)
 		}
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(by) {
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(deadline) {
 			return n, err
 		}
 		if !s.alive(s.addr) {
@@ -154,29 +162,29 @@
 	}
 }
 
-// SetWriteDeadline notes until when the next request may be sent. The library
-// calls it once for each request, after the connection is there.
+// SetWriteDeadline sets the deadline for sending the next request. fasthttp calls
+// it once for each request, after it has a connection.
 func (s *stallConn) SetWriteDeadline(t time.Time) error {
-	s.writeBy = t
+	s.writeDeadline = t
 	return s.Conn.SetWriteDeadline(t)
 }
 
-// Write sends the next part of a request and counts it. The first part is not
-// sent once the time is over by the clock: in a process that was paused, the
-// timer of the connection may not have run yet.
+// Write sends the next bytes of a request. Before the first of them it compares
+// the deadline with the clock: in a process that was paused, the timer behind the
+// deadline of the connection may not have fired yet.
 func (s *stallConn) Write(b []byte) (int, error) {
-	if !s.writeBy.IsZero() && !s.now().Before(s.writeBy) {
+	if !s.writeDeadline.IsZero() && !s.now().Before(s.writeDeadline) {
 		return 0, ErrTooLate
 	}
-	s.writeBy = time.Time{}
+	s.writeDeadline = time.Time{}
 	s.waiting.Store(true)
 	n, err := s.Conn.Write(b)
 	s.bytes.Add(int64(n))
 	return n, err
 }
 
-// Close closes the connection. If it waits for an answer it is reset, so that an order
-// isn't carried out after its caller gave it up.
+// Close closes the connection. It resets a connection that waits for a response, so
+// that a request is not executed after its sender gave up.
 func (s *stallConn) Close() error {
 	if s.waiting.Load() {
 		ResetOnClose(s.Conn)
@@ -184,24 +192,25 @@
 	return s.Conn.Close()
 }
 
-// Do sends r once and fills a. The caller owns both and closes a's body
-// stream. ctx carries the trace; its deadline bounds the whole answer. A
-// request whose time is over before it is written fails with [ErrTooLate].
+// Do sends r once and reads the response into a. The caller owns both and closes
+// the body stream of a. ctx carries the trace, and its deadline covers the request
+// and the whole response. If the deadline passes before the request is written, Do
+// fails with [ErrTooLate].
 func (c *Client) Do(ctx context.Context, r *fasthttp.Request, a *fasthttp.Response) error {
 	otel.GetTextMapPropagator().Inject(ctx, HeaderCarrier{&r.Header})
-	d, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return c.http.Do(r, a)
 	}
-	if !c.now().Before(d) {
+	if !c.now().Before(deadline) {
 		return ErrTooLate
 	}
-	return c.http.DoDeadline(r, a, d)
+	return c.http.DoDeadline(r, a, deadline)
 }
 
-// JSON sends in as JSON (nothing, if nil) to path at addr and reads the
-// answer into out (if not nil). A status other than 200 is a [*StatusError].
-// A ctx without a deadline gets the default one.
+// JSON sends in as JSON to path at addr, or an empty body if in is nil, and decodes
+// the response into out unless that is nil. A status other than 200 is returned as
+// a [*StatusError]. A ctx without a deadline gets a timeout of 5 s.
 func (c *Client) JSON(ctx context.Context, method, addr, path string, in, out any) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -234,16 +243,17 @@
 	if out == nil {
 		return nil
 	}
-	return errors.Wrapf(json.Unmarshal(b, out), "decode answer to %s %s", method, path)
+	return errors.Wrapf(json.Unmarshal(b, out), "decode response to %s %s", method, path)
 }
 
-// Get implements the propagation carrier.
+// Get implements [propagation.TextMapCarrier].
 func (h HeaderCarrier) Get(k string) string { return string(h.Header.Peek(k)) }
 
-// Set implements the propagation carrier.
+// Set implements [propagation.TextMapCarrier].
 func (h HeaderCarrier) Set(k, v string) { h.Header.Set(k, v) }
 
-// Keys implements the propagation carrier; the propagators in use never ask.
+// Keys implements [propagation.TextMapCarrier]. It returns nil, since the
+// propagators in use never call it.
 func (h HeaderCarrier) Keys() []string { return nil }
 
 var _ propagation.TextMapCarrier = HeaderCarrier{}
--- a/clients/web/client_test.go
+++ b/clients/web/client_test.go
@@ -17,9 +17,10 @@
 	"slipcrank.example/clients/web"
 )
 
-// serve answers each request that it reads with what answer writes, on
-// connections that are kept until answer returns false.
-func serve(t *testing.T, answer func(n int64, w io.Writer) bool) (string, *atomic.Int64) {
+// serve starts a server that calls respond for each request that it reads, with the
+// number of the request, and closes the connection when respond returns false. It
+// returns the server's address and the number of requests read.
+func serve(t *testing.T, respond func(n int64, w io.Writer) bool) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +43,7 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, r.Body)
-					if !answer(n.Add(1), c) {
+					if !respond(n.Add(1), c) {
 						return
 					}
 				}
@@ -52,10 +53,11 @@
 	return l.Addr().String(), &n
 }
 
-// TestRequestGivenUpIsTakenBack: requests that were given up reached their servers
-// seconds later, when a network had held them up. A closed connection still delivers
-// what was written to it; one that is reset doesn't.
-func TestRequestGivenUpIsTakenBack(t *testing.T) {
+// TestAbandonedRequestResetsConnection guards against requests that reach the server
+// seconds after the client gave up, because a slow network delayed them. Data
+// written to a connection is still delivered after an ordinary close, but not after
+// a reset.
+func TestAbandonedRequestResetsConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +77,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if err := web.New().JSON(ctx, http.MethodPost, l.Addr().String(), "/order", struct{}{}, nil); err == nil {
-		t.Error("a request without an answer ends well")
+		t.Error("a request without a response succeeded")
 	}
 	if err := <-end; !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the connection ended with %v, want a reset", err)
@@ -84,12 +86,12 @@
 
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
-func TestNothingIsSentTwice(t *testing.T) {
+func TestRequestsAreNotRetried(t *testing.T) {
 	for name, method := range map[string]string{"post": http.MethodPost, "get": http.MethodGet, "put": http.MethodPut} {
 		t.Run(name, func(t *testing.T) {
 			addr, n := serve(t, func(n int64, w io.Writer) bool {
 				if n > 1 {
-					return false // read, counted, closed with no answer
+					return false // counted, but closed without a response
 				}
 				_, _ = io.WriteString(w, good)
 				return true
@@ -99,24 +101,24 @@
 				t.Fatal(err)
 			}
 			if err := c.JSON(context.Background(), method, addr, "/second", struct{}{}, nil); err == nil {
-				t.Error("a call whose connection closed with no answer gave no error")
+				t.Error("a request whose connection closed without a response returned no error")
 			}
 			if got := n.Load(); got != 2 {
-				t.Errorf("the server counted %d requests, want 2: one each", got)
+				t.Errorf("the server read %d requests, want 2", got)
 			}
 		})
 	}
 }
 
-func TestCutBodyIsAnError(t *testing.T) {
-	for name, answer := range map[string]string{
-		"stated length":  "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}",
+func TestTruncatedBodyIsAnError(t *testing.T) {
+	for name, response := range map[string]string{
+		"content length": "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}",
 		"chunked":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n",
 		"inside a chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{}",
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, _ := serve(t, func(_ int64, w io.Writer) bool {
-				_, _ = io.WriteString(w, answer)
+				_, _ = io.WriteString(w, response)
 				return false
 			})
 			var r fasthttp.Request
@@ -126,13 +128,13 @@
 				t.Fatal(err)
 			}
 			if b, err := web.ReadBody(&a); err == nil {
-				t.Errorf("a cut body was taken for a whole one: %q", b)
+				t.Errorf("a truncated body was accepted: %q", b)
 			}
 		})
 	}
 }
 
-func TestSilentPeerEndsTheRead(t *testing.T) {
+func TestStallTimeout(t *testing.T) {
 	hold := make(chan struct{})
 	t.Cleanup(func() { close(hold) })
 	addr, _ := serve(t, func(int64, io.Writer) bool {
@@ -141,7 +143,7 @@
 	})
 	c := web.New(web.WithStallTimeout(50 * time.Millisecond))
 	if err := c.JSON(context.Background(), http.MethodGet, addr, "/", nil, nil); err == nil {
-		t.Error("a silent peer gave no error")
+		t.Error("a request to a server that sends nothing returned no error")
 	}
 }
 
@@ -153,38 +155,38 @@
 	closed := l.Addr().String()
 	_ = l.Close()
 	if err := web.New().JSON(context.Background(), http.MethodPost, closed, "/", nil, nil); !web.NotSent(err) {
-		t.Errorf("NotSent(%v) is false for a port that nobody listens on", err)
+		t.Errorf("NotSent(%v) is false for a port without a listener", err)
 	}
 	addr, _ := serve(t, func(int64, io.Writer) bool { return false })
 	if err := web.New().JSON(context.Background(), http.MethodPost, addr, "/", nil, nil); web.NotSent(err) {
-		t.Errorf("NotSent(%v) is true for a request that was read", err)
+		t.Errorf("NotSent(%v) is true for a request that the server read", err)
 	}
 	if web.NotSent(errors.New("other")) || web.NotSent(fasthttp.ErrTimeout) {
-		t.Error("NotSent is true for errors after which the request may have been sent")
+		t.Error("NotSent is true for errors that do not exclude that the request was sent")
 	}
 }
 
-// TestNothingIsSentLate pauses the process, as its clock shows it, while a
-// request is on its way out.
-func TestNothingIsSentLate(t *testing.T) {
+// TestRequestIsNotSentAfterDeadline simulates a pause of the process while a request
+// is being sent: from some reading of the clock on, the time is an hour later.
+func TestRequestIsNotSentAfterDeadline(t *testing.T) {
 	for name, tc := range map[string]struct {
-		looks int // at the clock, before the pause
-		kept  bool
+		reads int  // of the clock, before the pause
+		reuse bool // send on a connection that is already open
 		sent  int64
 	}{
-		"no pause":                       {looks: 100, sent: 1},
-		"before the client is asked":     {looks: 0},
-		"while the connection is opened": {looks: 1},
-		"on a kept connection":           {looks: 1, kept: true},
+		"no pause":                       {reads: 100, sent: 1},
+		"before the client is called":    {reads: 0},
+		"while the connection is opened": {reads: 1},
+		"on an open connection":          {reads: 1, reuse: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, n := serve(t, func(_ int64, w io.Writer) bool {
 				_, _ = io.WriteString(w, good)
 				return true
 			})
-			left := 100
+			readsLeft := 100
 			c := web.New(web.WithNow(func() time.Time {
-				if left--; left < 0 {
+				if readsLeft--; readsLeft < 0 {
 					return time.Now().Add(time.Hour)
 				}
 				return time.Now()
@@ -192,19 +194,19 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
 			var before int64
-			if tc.kept {
+			if tc.reuse {
 				before = 1
 				if err := c.JSON(ctx, http.MethodPost, addr, "/", struct{}{}, nil); err != nil {
 					t.Fatal(err)
 				}
 			}
-			left = tc.looks
+			readsLeft = tc.reads
 			err := c.JSON(ctx, http.MethodPost, addr, "/", struct{}{}, nil)
 			if got := n.Load() - before; got != tc.sent {
-				t.Errorf("the server counted %d requests, want %d", got, tc.sent)
+				t.Errorf("the server read %d requests, want %d", got, tc.sent)
 			}
-			if late := web.NotSent(err); late != (tc.sent == 0) {
-				t.Errorf("NotSent(%v) is %v, want %v", err, late, tc.sent == 0)
+			if got := web.NotSent(err); got != (tc.sent == 0) {
+				t.Errorf("NotSent(%v) is %v, want %v", err, got, tc.sent == 0)
 			}
 		})
 	}
--- a/clients/web/reset.go
+++ b/clients/web/reset.go
@@ -2,10 +2,11 @@
 
 import "net"
 
-// ResetOnClose has the end of a connection take back what was written to it. A plain end still
-// delivers that, seconds after its sender gave it up, if a network has held it up.
+// ResetOnClose makes closing c reset the connection, which discards data that has
+// not been delivered yet. After an ordinary close the kernel still retransmits
+// that data, so on a slow network it may arrive seconds after the sender gave up.
 func ResetOnClose(c net.Conn) {
-	if l, ok := c.(interface{ SetLinger(seconds int) error }); ok {
-		_ = l.SetLinger(0) // a failure only makes it a softer end
+	if conn, ok := c.(interface{ SetLinger(seconds int) error }); ok {
+		_ = conn.SetLinger(0) // on failure, the connection is closed without a reset
 	}
 }
