--- a/clients/engine/client.go
+++ b/clients/engine/client.go
@@ -1,8 +1,8 @@
-// Package engine is the project's side of the platform's model engines.
+// Package engine is the client of the platform's model engines.
 //
 // A [Client] starts, resumes and cancels generations, reads load reports and
-// cache events, and gives fenced orders. It keeps the protocol in one narrow
-// place: nothing else in slipcrank knows how an engine is spoken to.
+// cache events, reserves KV memory and sends fenced orders. The engines' protocol is
+// confined to this package.
 //
 // # Usage
 //
@@ -27,35 +27,36 @@
 	"slipcrank.example/clients/web"
 )
 
-// An engine has gone if it does not answer so many questions, each within
-// this time.
+// An engine counts as dead if it answers none of maxChecks liveness checks within
+// checkTimeout each.
 const (
-	questions    = 2
-	questionTime = time.Second
+	maxChecks    = 2
+	checkTimeout = time.Second
 )
 
 var (
-	// ErrTruncated is a stream that ended without the engine's end marker.
+	// ErrTruncated is returned for a stream that ended without the engine's end
+	// marker, or that misses a piece.
 	ErrTruncated = errors.New("the engine's stream ended without its end marker")
-	// ErrForeignPiece is a piece that belongs to another request, attempt or
-	// incarnation.
+	// ErrForeignPiece is returned for a piece that belongs to another request,
+	// attempt or incarnation.
 	ErrForeignPiece = errors.New("the engine sent a piece of another attempt")
-	// ErrBusy is an engine that refused a request because it is full.
+	// ErrBusy is returned if the engine refused a request for lack of memory.
 	ErrBusy = errors.New("the engine has no room for the request")
-	// ErrFenced is an order that the engine refused for its old fence.
+	// ErrFenced is returned if the engine refused an order because its fence is out
+	// of date.
 	ErrFenced = errors.New("the engine has seen a newer fencing number")
-	// ErrNotSent is a request that never reached the engine.
+	// ErrNotSent is returned if nothing of a request was sent to the engine.
 	ErrNotSent = errors.New("no connection to the engine could be opened")
-	// ErrLeaving is an engine that takes no new work.
+	// ErrLeaving is returned if the engine is leaving and takes no new work.
 	ErrLeaving = errors.New("the engine is leaving and takes no new work")
 )
 
 type (
-	// Client speaks to engines by address. It is safe for use by many
-	// goroutines.
+	// Client sends requests to engines by address. It is safe for concurrent use.
 	Client struct {
 		web    *web.Client
-		asking singleflight.Group // questions whether an engine answers
+		checks singleflight.Group // liveness checks by address
 	}
 
 	cancelRequest struct {
@@ -95,13 +96,13 @@
 	return r, err
 }
 
-// Alive reports whether the engine at addr answers at all, by asking for its
-// load report up to twice. Many who ask about the same engine at the same time
-// cause one question.
+// Alive reports whether the engine at addr responds. It requests the load report up
+// to twice, with a timeout of 1 s each. Concurrent calls for the same address share
+// one check.
 func (c *Client) Alive(addr string) bool {
-	ok, _, _ := c.asking.Do(addr, func() (any, error) {
-		for range questions {
-			ctx, cancel := context.WithTimeout(context.Background(), questionTime)
+	ok, _, _ := c.checks.Do(addr, func() (any, error) {
+		for range maxChecks {
+			ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 			_, err := c.Report(ctx, addr)
 			cancel()
 			if err == nil {
@@ -113,41 +114,43 @@
 	return ok == true
 }
 
-// Cancel ends an attempt and frees its memory. An unknown attempt is no
-// error.
+// Cancel ends an attempt and frees its memory. Canceling an unknown attempt is not
+// an error.
 func (c *Client) Cancel(ctx context.Context, addr, attempt string) error {
 	return c.web.JSON(ctx, http.MethodPost, addr, "/engine/cancel", cancelRequest{Attempt: attempt}, nil)
 }
 
-// Events reads cache events with numbers above after, or the whole cache.
+// Events reads the cache events with numbers above after or, with resync set, the
+// names of all cached blocks.
 func (c *Client) Events(ctx context.Context, addr string, after uint64, resync bool) (EventPage, error) {
 	var p EventPage
 	err := c.web.JSON(ctx, http.MethodPost, addr, "/engine/events", eventsRequest{After: after, Resync: resync}, &p)
 	return p, err
 }
 
-// Command gives an order.
+// Command sends an order. It returns [ErrFenced] if the fence is out of date.
 func (c *Client) Command(ctx context.Context, addr string, o Order) error {
 	return mapStatus(c.web.JSON(ctx, http.MethodPost, addr, "/engine/order", o, nil))
 }
 
-// Reserve asks for memory; [ErrBusy] means that there is not enough.
+// Reserve reserves KV memory. It returns [ErrBusy] if there is not enough.
 func (c *Client) Reserve(ctx context.Context, addr string, h Holding) error {
 	return mapStatus(c.web.JSON(ctx, http.MethodPost, addr, "/engine/reserve", reserveRequest{Holding: h}, nil))
 }
 
-// Release gives memory back. An unknown holding is no error.
+// Release frees the memory of a holding. Releasing an unknown holding is not an
+// error.
 func (c *Client) Release(ctx context.Context, addr, id string) error {
 	return c.web.JSON(ctx, http.MethodPost, addr, "/engine/release", releaseRequest{ID: id}, nil)
 }
 
-// Import makes the engine at addr read the KV cache of holding id from the
+// Import makes the engine at addr read the KV cache of the holding id from the
 // engine at from.
 func (c *Client) Import(ctx context.Context, addr, from, id string) error {
 	return mapStatus(c.web.JSON(ctx, http.MethodPost, addr, "/engine/import", moveRequest{From: from, ID: id}, nil))
 }
 
-// Holdings lists the memory that the engine keeps for somebody.
+// Holdings lists the memory that the engine has reserved or uses for streams.
 func (c *Client) Holdings(ctx context.Context, addr string) ([]Holding, error) {
 	var r holdingsReply
 	err := c.web.JSON(ctx, http.MethodGet, addr, "/engine/holdings", nil, &r)
@@ -159,7 +162,7 @@
 func (c *Client) Generate(ctx context.Context, addr string, g Request) (*Stream, error) {
 	r, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(r)
-	fill(r, addr, g)
+	buildRequest(r, addr, g)
 	if err := c.web.Do(ctx, r, a); err != nil {
 		fasthttp.ReleaseResponse(a)
 		if web.NotSent(err) {
@@ -168,7 +171,7 @@
 		return nil, errors.Wrap(err, "start generation")
 	}
 	if a.StatusCode() != fasthttp.StatusOK {
-		b, _ := web.ReadBody(a) // the status says enough
+		b, _ := web.ReadBody(a) // the status identifies the error even without a body
 		err := mapStatus(&web.StatusError{Status: a.StatusCode(), Body: string(b)})
 		fasthttp.ReleaseResponse(a)
 		return nil, err
@@ -176,7 +179,7 @@
 	return newStream(a, g.Request, g.Attempt, g.Resume), nil
 }
 
-func fill(r *fasthttp.Request, addr string, g Request) {
+func buildRequest(r *fasthttp.Request, addr string, g Request) {
 	r.Header.SetMethod(fasthttp.MethodPost)
 	r.SetRequestURI("http://" + addr + g.Path)
 	r.Header.SetContentType("application/json")
@@ -195,12 +198,14 @@
 	r.SetBodyRaw(g.Body)
 }
 
+// mapStatus marks a [*web.StatusError] with the error of this package that its
+// status stands for.
 func mapStatus(err error) error {
-	var s *web.StatusError
-	if !errors.As(err, &s) {
+	var statusErr *web.StatusError
+	if !errors.As(err, &statusErr) {
 		return err
 	}
-	switch s.Status {
+	switch statusErr.Status {
 	case http.StatusTooManyRequests:
 		return errors.Mark(err, ErrBusy)
 	case http.StatusPreconditionFailed:
--- a/clients/engine/stream.go
+++ b/clients/engine/stream.go
@@ -11,72 +11,73 @@
 	"github.com/valyala/fasthttp"
 )
 
-// lineBuffer bounds one event, in bytes.
-const lineBuffer = 16 << 10
+// maxEventBytes is the maximum length of one line of the event stream.
+const maxEventBytes = 16 << 10
 
 var (
 	dataPrefix = []byte("data: ")
-	doneMark   = []byte("[DONE]")
+	doneData   = []byte("[DONE]")
 )
 
-// Stream is the answer to one attempt. One goroutine reads it.
+// Stream is the response to one attempt. Next may be called by one goroutine only.
 type Stream struct {
-	answer  *fasthttp.Response
-	once    sync.Once
-	lines   *bufio.Reader
-	request string
-	attempt string
-	offset  int
-	ended   bool
-	born    uint64 // incarnation of the engine, from the first piece
+	response    *fasthttp.Response
+	once        sync.Once
+	lines       *bufio.Reader
+	request     string
+	attempt     string
+	offset      int
+	ended       bool   // the end marker has been received
+	incarnation uint64 // of the engine, from the first piece
 }
 
 func newStream(a *fasthttp.Response, request, attempt string, offset int) *Stream {
 	return &Stream{
-		answer:  a,
-		lines:   bufio.NewReaderSize(a.BodyStream(), lineBuffer),
-		request: request,
-		attempt: attempt,
-		offset:  offset,
+		response: a,
+		lines:    bufio.NewReaderSize(a.BodyStream(), maxEventBytes),
+		request:  request,
+		attempt:  attempt,
+		offset:   offset,
 	}
 }
 
-// Next returns the next piece, in order and without a gap or a repeat. It
-// returns io.EOF only after the engine's end marker, and [ErrTruncated],
-// [ErrForeignPiece] or an I/O error otherwise.
+// Next returns the next piece. Pieces come in order, without gaps or duplicates, and
+// the end marker is the last one. After it Next returns io.EOF; a stream that fails
+// gives [ErrTruncated], [ErrForeignPiece] or an I/O error.
 func (s *Stream) Next() (Piece, error) {
 	for {
 		line, err := s.lines.ReadSlice('\n')
 		if err != nil {
-			return Piece{}, s.endOf(err)
+			return Piece{}, s.endError(err)
 		}
 		data, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), dataPrefix)
 		if !ok {
-			continue // a comment that shows that the engine lives, or a blank line
+			continue // a keep-alive comment or a blank line
 		}
-		if bytes.Equal(data, doneMark) {
-			continue // the body ends next, and then the connection is free
+		if bytes.Equal(data, doneData) {
+			continue // read on to the end of the body, so that the connection can be reused
 		}
-		p, fresh, err := s.accept(data)
+		p, isNew, err := s.accept(data)
 		if err != nil {
 			return Piece{}, err
 		}
-		if fresh {
+		if isNew {
 			return p, nil
 		}
 	}
 }
 
-// accept checks that a piece belongs here, and says whether it is new.
+// accept decodes a piece, checks that it belongs to this stream and reports whether
+// it is new.
 func (s *Stream) accept(data []byte) (Piece, bool, error) {
 	var p Piece
 	if err := json.Unmarshal(data, &p); err != nil {
 		return Piece{}, false, errors.Wrap(err, "decode piece")
 	}
-	if s.born == 0 {
-		s.born = p.Incarnation
+	if s.incarnation == 0 {
+		s.incarnation = p.Incarnation
 	}
-	if p.Request != s.request || p.Attempt != s.attempt || p.Incarnation != s.born {
+	if p.Request != s.request || p.Attempt != s.attempt || p.Incarnation != s.incarnation {
 		return Piece{}, false, ErrForeignPiece
 	}
 	if p.End {
@@ -87,7 +88,7 @@
 		return p, true, nil
 	}
 	if p.Offset < s.offset {
-		return Piece{}, false, nil // a repeat
+		return Piece{}, false, nil // a duplicate
 	}
 	if p.Offset > s.offset {
 		return Piece{}, false, ErrTruncated
@@ -96,7 +97,8 @@
 	return p, true, nil
 }
 
-func (s *Stream) endOf(err error) error {
+// endError returns the error of Next for an error of the body.
+func (s *Stream) endError(err error) error {
 	if s.ended {
 		return io.EOF
 	}
@@ -106,12 +108,12 @@
 	return errors.Wrap(err, "read stream")
 }
 
-// Offset returns the offset of the next token.
+// Offset returns the offset of the next token in the answer.
 func (s *Stream) Offset() int { return s.offset }
 
-// Close gives the connection back if the stream was read to its end, and
-// closes it otherwise. It may be called from another goroutine to interrupt
-// Next, and more than once.
+// Close returns the connection to the pool if the stream was read to its end, and
+// closes the connection otherwise. It may be called from another goroutine to
+// interrupt Next, and more than once.
 func (s *Stream) Close() {
-	s.once.Do(func() { _ = s.answer.CloseBodyStream() })
+	s.once.Do(func() { _ = s.response.CloseBodyStream() })
 }
--- a/clients/engine/stream_test.go
+++ b/clients/engine/stream_test.go
@@ -14,11 +14,12 @@
 	"slipcrank.example/clients/web"
 )
 
-func piece(attempt string, incarnation, offset int, rest string) string {
-	return fmt.Sprintf("data: {\"request\":\"r\",\"attempt\":%q,\"incarnation\":%d,\"offset\":%d%s}\n\n", attempt, incarnation, offset, rest)
+// piece returns the server-sent event of one piece; fields is appended to its JSON.
+func piece(attempt string, incarnation, offset int, fields string) string {
+	return fmt.Sprintf("data: {\"request\":\"r\",\"attempt\":%q,\"incarnation\":%d,\"offset\":%d%s}\n\n", attempt, incarnation, offset, fields)
 }
 
-func TestStreamIsWholeAndItsOwn(t *testing.T) {
+func TestStreamIsCompleteAndOfOneAttempt(t *testing.T) {
 	const (
 		text = `,"text":"x"`
 		end  = `,"end":true,"finish":"length"`
@@ -28,15 +29,15 @@
 		tokens int
 		want   error
 	}{
-		"whole":               {piece("a", 1, 0, text) + piece("a", 1, 1, text) + piece("a", 1, 2, end) + "data: [DONE]\n\n", 2, io.EOF},
-		"comments and blanks": {": waiting\n\n" + piece("a", 1, 0, text) + ": waiting\n\n" + piece("a", 1, 1, end), 1, io.EOF},
-		"a piece twice":       {piece("a", 1, 0, text) + piece("a", 1, 0, text) + piece("a", 1, 1, end), 1, io.EOF},
-		"no end marker":       {piece("a", 1, 0, text), 1, engine.ErrTruncated},
-		"done without end":    {piece("a", 1, 0, text) + "data: [DONE]\n\n", 1, engine.ErrTruncated},
-		"a gap":               {piece("a", 1, 0, text) + piece("a", 1, 2, text), 1, engine.ErrTruncated},
-		"end too soon":        {piece("a", 1, 0, text) + piece("a", 1, 2, end), 1, engine.ErrTruncated},
-		"another attempt":     {piece("b", 1, 0, text), 0, engine.ErrForeignPiece},
-		"another incarnation": {piece("a", 1, 0, text) + piece("a", 2, 1, text), 1, engine.ErrForeignPiece},
+		"complete":              {piece("a", 1, 0, text) + piece("a", 1, 1, text) + piece("a", 1, 2, end) + "data: [DONE]\n\n", 2, io.EOF},
+		"comments":              {": waiting\n\n" + piece("a", 1, 0, text) + ": waiting\n\n" + piece("a", 1, 1, end), 1, io.EOF},
+		"duplicate piece":       {piece("a", 1, 0, text) + piece("a", 1, 0, text) + piece("a", 1, 1, end), 1, io.EOF},
+		"no end marker":         {piece("a", 1, 0, text), 1, engine.ErrTruncated},
+		"done but no end":       {piece("a", 1, 0, text) + "data: [DONE]\n\n", 1, engine.ErrTruncated},
+		"missing piece":         {piece("a", 1, 0, text) + piece("a", 1, 2, text), 1, engine.ErrTruncated},
+		"piece before end lost": {piece("a", 1, 0, text) + piece("a", 1, 2, end), 1, engine.ErrTruncated},
+		"another attempt":       {piece("b", 1, 0, text), 0, engine.ErrForeignPiece},
+		"another incarnation":   {piece("a", 1, 0, text) + piece("a", 2, 1, text), 1, engine.ErrForeignPiece},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/clients/engine/types.go
+++ b/clients/engine/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Header names of a generation request, beside the caller's own body.
+// Headers of a generation request.
 const (
 	HeaderRequest     = "X-Request-Id"
 	HeaderAttempt     = "Slipcrank-Attempt"
@@ -13,35 +13,35 @@
 	HeaderReservation = "X-Reservation"
 )
 
-// Action is what an order asks an engine to do.
+// Action is the action of an [Order].
 type Action string
 
-// The actions of orders. Each states a wanted end, so a repeat is harmless.
+// The actions of orders. Each specifies the desired state, so all are idempotent.
 const (
 	Load    Action = "load"
 	Unload  Action = "unload"
 	SetRole Action = "set_role"
 )
 
-// Role says what kind of work an engine is for.
+// Role is the kind of work that an engine accepts.
 type Role string
 
 // The roles of engines.
 const (
 	Mixed   Role = "mixed"   // prefill and decode of any length
-	Short   Role = "short"   // kept for short prompts
-	Prefill Role = "prefill" // long prefill, exported to others for decode
+	Short   Role = "short"   // short prompts only
+	Prefill Role = "prefill" // prefill of long prompts; the KV cache is exported to other engines for decode
 )
 
 type (
-	// Copy names a model in one version, as an engine holds it.
+	// Copy identifies a version of a model that an engine has loaded.
 	Copy struct {
 		Model   string `json:"model"`
 		Version string `json:"version"`
 	}
 
-	// Report is the load report of an engine. It lags: Age is the time since the engine
-	// took it.
+	// Report is the load report of an engine. Reports are delayed: Age is the time
+	// since the engine made this one.
 	Report struct {
 		Incarnation   uint64        `json:"incarnation"`
 		Copies        []Copy        `json:"copies"`
@@ -49,42 +49,42 @@
 		Leaving       bool          `json:"leaving"`
 		Running       int           `json:"running"`
 		Waiting       int           `json:"waiting"`
-		PendingTokens int           `json:"pending_tokens"` // prefill not done yet
-		UsedTokens    int           `json:"used_tokens"`    // KV memory in use, held and reserved
-		TotalTokens   int           `json:"total_tokens"`   // KV memory in all
-		EventNumber   uint64        `json:"event_number"`   // of the newest cache event
+		PendingTokens int           `json:"pending_tokens"` // prompt tokens not yet prefilled
+		UsedTokens    int           `json:"used_tokens"`    // KV memory in use or reserved
+		TotalTokens   int           `json:"total_tokens"`   // size of the KV memory
+		EventNumber   uint64        `json:"event_number"`   // of the latest cache event
 		Age           time.Duration `json:"age"`
 	}
 
-	// Event is one change of an engine's prefix cache. Numbers rise by one;
-	// a gap means that events were lost.
+	// Event is one change of an engine's prefix cache. Numbers are consecutive; a
+	// gap means that events were lost.
 	Event struct {
 		Number  uint64 `json:"number"`
-		Block   uint64 `json:"block"` // chained hash of the prefix up to and with this block
+		Block   uint64 `json:"block"` // chained hash of the prefix that ends with this block
 		Evicted bool   `json:"evicted,omitempty"`
 	}
 
-	// EventPage is an answer to a question for events.
+	// EventPage is the response to a request for events.
 	EventPage struct {
 		Incarnation uint64  `json:"incarnation"`
 		Events      []Event `json:"events"`
-		// Blocks is the whole cache as of Number, when a resync was asked.
+		// Blocks has all cached blocks as of Number, in the response to a resync.
 		Blocks []uint64 `json:"blocks,omitempty"`
 		Number uint64   `json:"number"`
 	}
 
-	// Order is a fenced order. An engine that checks the fence refuses one
-	// that is lower than the highest it has seen.
+	// Order is a fenced command. An engine that checks fences refuses an order whose
+	// Fence is lower than the highest that it has received.
 	Order struct {
 		Fence   uint64        `json:"fence"`
 		Action  Action        `json:"action"`
 		Model   string        `json:"model,omitempty"`
 		Version string        `json:"version,omitempty"`
 		Role    Role          `json:"role,omitempty"`
-		TTL     time.Duration `json:"life"` // the order is void after this time
+		TTL     time.Duration `json:"life"` // not to be executed after this time
 	}
 
-	// Holding is KV memory that an engine keeps for somebody.
+	// Holding is KV memory that an engine has allocated to an owner.
 	Holding struct {
 		ID          string        `json:"id"`
 		Owner       string        `json:"owner"`
@@ -95,31 +95,33 @@
 		Kind string `json:"kind"`
 	}
 
-	// Piece is one event of a generation stream.
+	// Piece is one event of a generation stream: a token or the end marker.
 	Piece struct {
 		Request     string `json:"request"`
 		Attempt     string `json:"attempt"`
 		Incarnation uint64 `json:"incarnation"`
 		Offset      int    `json:"offset"`
 		Text        string `json:"text"`
-		// End marks a whole answer; Finish says why it ended.
+		// End is set on the end marker of a complete answer; Finish is the reason why
+		// the answer ended.
 		End    bool   `json:"end,omitempty"`
 		Finish string `json:"finish,omitempty"`
-		// Prompt and Cached count prompt tokens, on the end marker.
+		// Prompt and Cached are the numbers of prompt tokens and of those found in the
+		// prefix cache. They are set on the end marker.
 		Prompt int `json:"prompt_tokens,omitempty"`
 		Cached int `json:"cached_tokens,omitempty"`
 	}
 
 	// Request is a generation request for one attempt on one engine.
 	Request struct {
-		Path          string // as the caller's client speaks it
-		Body          []byte // the caller's own JSON; not copied
+		Path          string // of the caller's request, such as /v1/completions
+		Body          []byte // JSON of the caller's request; not copied
 		Request       string
 		Attempt       string
 		Version       string
-		Priority      int64 // lower is more urgent
-		Resume        int   // offset of the first token wanted
-		ReservationID string
+		Priority      int64  // lower is more urgent
+		Resume        int    // offset of the first token to send
+		ReservationID string // holding that provides the memory; empty for none
 		Deadline      time.Time
 	}
 )
