--- a/clients/hosts/hosts.go
+++ b/clients/hosts/hosts.go
@@ -1,5 +1,5 @@
-// Package hosts is the project's side of the platform's list of live and
-// leaving hosts. The list lags behind reality.
+// Package hosts is the client of the platform's list of live and leaving hosts.
+// Changes appear in the list with a delay.
 //
 // # Usage
 //
@@ -19,38 +19,38 @@
 	"slipcrank.example/clients/web"
 )
 
-// readTime bounds one read of the list.
-const readTime = 5 * time.Second
+// readTimeout is the timeout of one read of the list.
+const readTimeout = 5 * time.Second
 
-// Role says what a host runs.
+// Role is the kind of program that a host runs.
 type Role string
 
 // The roles of hosts.
 const (
 	Entry   Role = "entry"   // an entry host with a slipcrank daemon
-	Engine  Role = "engine"  // a model runner
+	Engine  Role = "engine"  // a model engine
 	Service Role = "service" // an application runner with a plain service
-	OldSite Role = "oldsite" // the front of the old site
+	OldSite Role = "oldsite" // a front end of the old site
 )
 
 type (
-	// Host is one line of the list.
+	// Host is one entry of the list.
 	Host struct {
-		Addr string `json:"addr"` // IP number and port
+		Addr string `json:"addr"` // IP address and port
 		Hall string `json:"hall"` // data hall
 		Role Role   `json:"role"`
-		// Service names the plain service, for the role [Service].
+		// Service is the name of the plain service, for the role [Service].
 		Service string `json:"service,omitempty"`
 		Leaving bool   `json:"leaving"`
-		// ChecksFence says, for the role [Engine], whether the engine
-		// refuses orders with an old fencing number.
+		// ChecksFence reports, for the role [Engine], whether the engine
+		// refuses orders whose fence is out of date.
 		ChecksFence bool `json:"checks_fence,omitempty"`
 	}
 
 	// List reads the host list.
 	List struct {
-		// List returns all hosts that the platform knows, and whether they
-		// differ from those of the call before.
+		// List returns all hosts in the list, and whether the list has changed
+		// since the previous call.
 		List func(ctx context.Context) (hs []Host, changed bool, err error)
 	}
 
@@ -59,7 +59,7 @@
 		addr string
 
 		mu    sync.Mutex
-		tag   string // entity tag of the list that was read last
+		etag  string // of the list in hosts
 		hosts []Host
 	}
 
@@ -68,8 +68,8 @@
 	}
 )
 
-// New returns the list at addr (an IP number and port). The list is long and
-// changes seldom, so each read asks, by entity tag, only for a newer one.
+// New returns the list served at addr (an IP address and port). The list is long and
+// rarely changes, so each read is conditional on the entity tag of the previous one.
 func New(w *web.Client, addr string) List {
 	c := &client{web: w, addr: addr}
 	return List{List: c.list}
@@ -78,14 +78,14 @@
 func (c *client) list(ctx context.Context) ([]Host, bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	r, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(r)
 	defer fasthttp.ReleaseResponse(a)
 	r.SetRequestURI("http://" + c.addr + "/hosts")
-	if c.tag != "" {
-		r.Header.Set(fasthttp.HeaderIfNoneMatch, c.tag)
+	if c.etag != "" {
+		r.Header.Set(fasthttp.HeaderIfNoneMatch, c.etag)
 	}
 	if err := c.web.Do(ctx, r, a); err != nil {
 		return nil, false, errors.Wrap(err, "read host list")
@@ -105,6 +105,6 @@
 	if err := json.Unmarshal(b, &l); err != nil {
 		return nil, false, errors.Wrap(err, "decode host list")
 	}
-	c.tag, c.hosts = string(a.Header.Peek(fasthttp.HeaderETag)), l.Hosts
+	c.etag, c.hosts = string(a.Header.Peek(fasthttp.HeaderETag)), l.Hosts
 	return c.hosts, true, nil
 }
