--- a/clients/oldsite/oldsite.go
+++ b/clients/oldsite/oldsite.go
@@ -1,10 +1,10 @@
-// Package oldsite is the project's side of the old site: one more HTTP
-// backend that speaks the callers' own protocol.
+// Package oldsite is the client of the old site, an HTTP server that has the same
+// interface as slipcrank has for its callers.
 //
 // # Usage
 //
 //	c := oldsite.New(web.New())
-//	err := c.Stream(ctx, addr, "/v1/completions", body, func(event []byte) error { ... })
+//	err := c.Stream(ctx, addr, "/v1/completions", body, func(line []byte) error { ... })
 package oldsite
 
 import (
@@ -19,14 +19,15 @@
 	"slipcrank.example/clients/web"
 )
 
-const lineBuffer = 64 << 10
+// maxLineBytes is the maximum length of one line of a stream.
+const maxLineBytes = 64 << 10
 
 var (
 	doneLine = []byte("data: [DONE]")
 
-	// ErrTruncated is a stream that ended without its end marker.
+	// ErrTruncated is returned for a stream that ended without its end marker.
 	ErrTruncated = errors.New("the old site's stream ended without its end marker")
-	// ErrNotSent marks a request that never reached the old site.
+	// ErrNotSent is returned if nothing of a request was sent to the old site.
 	ErrNotSent = errors.New("no connection to the old site could be opened")
 )
 
@@ -36,7 +37,7 @@
 		web *web.Client
 	}
 
-	// Answer is an answer that is not streamed.
+	// Answer is a response that is not streamed.
 	Answer struct {
 		Status      int
 		ContentType string
@@ -47,7 +48,7 @@
 // New returns a client.
 func New(w *web.Client) *Client { return &Client{web: w} }
 
-// Send sends a request and returns its whole answer.
+// Send sends a request once and returns its whole response.
 func (c *Client) Send(ctx context.Context, addr, path string, body []byte) (Answer, error) {
 	a, err := c.do(ctx, addr, path, body)
 	if err != nil {
@@ -57,9 +58,9 @@
 	return Answer{Status: a.StatusCode(), ContentType: string(a.Header.ContentType()), Body: b}, err
 }
 
-// Stream sends a request whose answer is streamed, and passes each line on,
-// with its line feed. A nil error means that the end marker came. An answer
-// with another status than 200 is a [*web.StatusError].
+// Stream sends a request once and calls line for each line of the response, with
+// its line feed. It returns nil only if the stream had its end marker. A status other
+// than 200 is returned as a [*web.StatusError].
 func (c *Client) Stream(ctx context.Context, addr, path string, body []byte, line func([]byte) error) error {
 	a, err := c.do(ctx, addr, path, body)
 	if err != nil {
@@ -75,15 +76,17 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = a.CloseBodyStream() })
 	defer stop()
-	return pass(bufio.NewReaderSize(a.BodyStream(), lineBuffer), line)
+	return copyLines(bufio.NewReaderSize(a.BodyStream(), maxLineBytes), line)
 }
 
-func pass(r *bufio.Reader, line func([]byte) error) error {
-	whole := false
+// copyLines calls line for each line of r, and returns [ErrTruncated] if none of them
+// is the end marker.
+func copyLines(r *bufio.Reader, line func([]byte) error) error {
+	complete := false
 	for {
 		l, err := r.ReadSlice('\n')
 		if errors.Is(err, io.EOF) {
-			if !whole {
+			if !complete {
 				return ErrTruncated
 			}
 			return nil
@@ -91,15 +94,15 @@
 		if err != nil {
 			return errors.Wrap(err, "read the old site's stream")
 		}
-		whole = whole || bytes.Equal(bytes.TrimSpace(l), doneLine)
+		complete = complete || bytes.Equal(bytes.TrimSpace(l), doneLine)
 		if err := line(l); err != nil {
 			return err
 		}
 	}
 }
 
-// do sends a request once. The answer is left to the garbage collector, since
-// its stream may still be read when it is closed.
+// do sends a request once. The response is not returned to the pool of fasthttp,
+// since its stream may be closed while it is still being read.
 func (c *Client) do(ctx context.Context, addr, path string, body []byte) (*fasthttp.Response, error) {
 	r, a := fasthttp.AcquireRequest(), &fasthttp.Response{}
 	defer fasthttp.ReleaseRequest(r)
@@ -111,5 +114,5 @@
 	if web.NotSent(err) {
 		err = errors.Mark(err, ErrNotSent)
 	}
-	return a, errors.Wrap(err, "ask the old site")
+	return a, errors.Wrap(err, "send request to the old site")
 }
