--- a/clients/tables/tables.go
+++ b/clients/tables/tables.go
@@ -1,5 +1,5 @@
-// Package tables is the project's side of the platform's table service and
-// object store: it fills the seams of a [store.Store] with HTTP calls.
+// Package tables is the client of the platform's table service and object store. It
+// implements the functions of a [store.Store] with HTTP requests.
 //
 // # Usage
 //
@@ -47,7 +47,7 @@
 	}
 )
 
-// New returns the store at addr (an IP number and port).
+// New returns the store served at addr (an IP address and port).
 func New(w *web.Client, addr string) store.Store {
 	c := &client{web: w, addr: addr}
 	return store.Store{
@@ -60,10 +60,12 @@
 	}
 }
 
+// post sends in as JSON to path and decodes the response into out. The statuses 400
+// and 429 are marked as [store.ErrRefused].
 func (c *client) post(ctx context.Context, path string, in, out any) error {
 	err := c.web.JSON(ctx, http.MethodPost, c.addr, path, in, out)
-	var s *web.StatusError
-	if errors.As(err, &s) && (s.Status == http.StatusTooManyRequests || s.Status == http.StatusBadRequest) {
+	var statusErr *web.StatusError
+	if errors.As(err, &statusErr) && (statusErr.Status == http.StatusTooManyRequests || statusErr.Status == http.StatusBadRequest) {
 		return errors.Mark(err, store.ErrRefused)
 	}
 	return err
