--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -8,9 +8,10 @@
 )
 
 type (
-	// cache holds the names of cached blocks, least recently used last.
+	// cache is a prefix cache with LRU eviction. It has only the hashes of the
+	// blocks.
 	cache struct {
-		order  *list.List
+		lru    *list.List // of block hashes, most recently used first
 		blocks map[uint64]*list.Element
 		events []timedEvent
 		number uint64
@@ -22,53 +23,56 @@
 	}
 )
 
+// maxEvents is the maximum number of cache events kept for readers.
 const maxEvents = 10_000
 
 func newCache() *cache {
-	return &cache{order: list.New(), blocks: map[uint64]*list.Element{}}
+	return &cache{lru: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// longest returns how many blocks of the chain are cached, and marks them as
-// used.
-func (c *cache) longest(chain []uint64) int {
+// touchPrefix returns how many of the first blocks of chain are cached, and marks
+// them as used.
+func (c *cache) touchPrefix(chain []uint64) int {
 	for i, b := range chain {
 		l, ok := c.blocks[b]
 		if !ok {
 			return i
 		}
-		c.order.MoveToFront(l)
+		c.lru.MoveToFront(l)
 	}
 	return len(chain)
 }
 
-// add caches the chain, and evicts down to room blocks.
-func (c *cache) add(chain []uint64, room int, note func(uint64, bool)) {
+// add inserts the blocks of chain, then evicts blocks until at most maxBlocks are
+// left. It calls onChange for each block, with true if the block was evicted.
+func (c *cache) add(chain []uint64, maxBlocks int, onChange func(uint64, bool)) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		if l, ok := c.blocks[chain[i]]; ok {
-			c.order.MoveToFront(l)
+			c.lru.MoveToFront(l)
 			continue
 		}
-		c.blocks[chain[i]] = c.order.PushFront(chain[i])
-		note(chain[i], false)
+		c.blocks[chain[i]] = c.lru.PushFront(chain[i])
+		onChange(chain[i], false)
 	}
-	c.shrink(room, note)
+	c.shrink(maxBlocks, onChange)
 }
 
-// shrink evicts the least recently used blocks above room.
-func (c *cache) shrink(room int, note func(uint64, bool)) {
-	for c.order.Len() > max(room, 0) {
-		l := c.order.Back()
-		b, ok := c.order.Remove(l).(uint64)
+// shrink evicts the least recently used blocks until at most maxBlocks are left.
+func (c *cache) shrink(maxBlocks int, onChange func(uint64, bool)) {
+	for c.lru.Len() > max(maxBlocks, 0) {
+		l := c.lru.Back()
+		b, ok := c.lru.Remove(l).(uint64)
 		if !ok {
 			return
 		}
 		delete(c.blocks, b)
-		note(b, true)
+		onChange(b, true)
 	}
 }
 
-// note records a cache event, unless it is lost.
-func (e *Engine) note(block uint64, evicted bool) {
+// recordEvent records a cache event. If dropEvent says that the event is lost, only
+// its number is used up.
+func (e *Engine) recordEvent(block uint64, evicted bool) {
 	c := e.cache
 	c.number++
 	if e.dropEvent(c.number) {
@@ -83,8 +87,8 @@
 	}
 }
 
-// Events returns the cache events after a number that are old enough to be
-// shown, or the whole cache for a resync.
+// Events returns the cache events with numbers above after that are older than
+// Params.EventLag or, for a resync, the hashes of all cached blocks.
 func (e *Engine) Events(after uint64, resync bool) protocol.EventPage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,9 +99,9 @@
 		}
 		return p
 	}
-	shown := time.Now().Add(-e.params.EventLag)
+	cutoff := time.Now().Add(-e.params.EventLag)
 	for _, t := range e.cache.events {
-		if t.event.Number > after && !t.at.After(shown) {
+		if t.event.Number > after && !t.at.After(cutoff) {
 			p.Events = append(p.Events, t.event)
 		}
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,10 +1,11 @@
-// Package engine is a small stand-in for a model engine: continuous batching
-// by a step-time model, limited KV memory with a prefix cache, priorities,
-// resume by offset, cancel, KV reservations, lagging load reports, cache
-// events that come late and with gaps, and fenced orders.
+// Package engine is a stand-in for a model engine, for tests and the development
+// system. It simulates continuous batching with a step-time model, limited KV memory
+// with a prefix cache, priorities, resumption at an offset, cancellation, KV memory
+// reservations, delayed load reports, cache events with delays and gaps, and fenced
+// orders.
 //
-// The core is in memory and takes its time from package time, so that it runs
-// in a synctest bubble too. [Engine.Serve] puts it behind HTTP.
+// An Engine works in memory and takes the time from package time, so it can run in
+// a synctest bubble. [Engine.Serve] adds an HTTP server.
 //
 // # Usage
 //
@@ -27,9 +28,10 @@
 )
 
 var (
-	// ErrNoCopy is a job for a model or version that is not loaded.
+	// ErrNoCopy is returned for a job whose model or version is not loaded.
 	ErrNoCopy = errors.New("the engine does not hold this copy")
-	// ErrTooLarge is a job that could never fit the memory.
+	// ErrTooLarge is returned for a job that needs more memory than the engine has,
+	// and for an unknown holding.
 	ErrTooLarge = errors.New("the job needs more memory than the engine has")
 )
 
@@ -39,14 +41,14 @@
 		Request       string
 		Attempt       string
 		Model         string
-		Version       string   // any, if empty
-		Prompt        int      // tokens
-		Chain         []uint64 // names of the prompt's blocks
+		Version       string   // empty for any
+		Prompt        int      // length in tokens
+		Chain         []uint64 // chained hashes of the prompt's blocks
 		MaxTokens     int
 		Resume        int
 		Priority      int64 // lower is more urgent
 		Seed          uint64
-		ReservationID string // reservation that pays for the memory
+		ReservationID string // holding that provides the memory; empty for none
 	}
 
 	// Engine is the stand-in. Use [New].
@@ -54,26 +56,26 @@
 		params      Params
 		incarnation uint64
 		dropEvent   func(uint64) bool
-		deadly      func(prompt string) bool
-
-		mu      sync.Mutex
-		wake    chan struct{}
-		copies  []protocol.Copy
-		role    protocol.Role
-		leaving bool
-		fence   uint64
-		waiting []*stream
-		running []*stream
-		arrived uint64
-		used    int
-		cache   *cache
-		holds   map[string]*holding
-		links   map[string][]link // by holding id
-		reports []timedReport
-		done    Totals
-	}
-
-	// Totals counts what the engine did since its start.
+		fatal       func(prompt string) bool // see [WithFatalPrompts]
+
+		mu       sync.Mutex
+		wake     chan struct{} // signals that Run may have work
+		copies   []protocol.Copy
+		role     protocol.Role
+		leaving  bool
+		fence    uint64 // highest received
+		waiting  []*stream
+		running  []*stream
+		arrivals uint64 // number of jobs submitted
+		used     int    // KV tokens in use or reserved
+		cache    *cache
+		holdings map[string]*holding
+		links    map[string][]link // by holding id
+		reports  []timedReport
+		totals   Totals
+	}
+
+	// Totals has counts since the start of the engine.
 	Totals struct {
 		Started       int `json:"started"`
 		Finished      int `json:"finished"`
@@ -91,24 +93,24 @@
 		job     Job
 		arrival uint64
 		out     chan protocol.Piece
-		pending int // prompt tokens not prefilled yet
-		cached  int
+		pending int // prompt tokens not yet prefilled
+		cached  int // prompt tokens found in the prefix cache
 		next    int // offset of the next token
-		memory  int // tokens of KV memory that it occupies
-		gone    bool
+		memory  int // KV tokens allocated, 0 if a holding provides the memory
+		closed  bool
 	}
 )
 
-// New returns an engine that does nothing until [Engine.Run].
+// New returns an engine, which processes no jobs until [Engine.Run] is called.
 func New(os ...Option) *Engine {
 	e := &Engine{
 		params:      DefaultParams(),
 		incarnation: uint64(time.Now().UnixNano()),
 		dropEvent:   func(uint64) bool { return false },
-		deadly:      func(string) bool { return false },
+		fatal:       func(string) bool { return false },
 		wake:        make(chan struct{}, 1),
 		role:        protocol.Mixed,
-		holds:       map[string]*holding{},
+		holdings:    map[string]*holding{},
 		links:       map[string][]link{},
 	}
 	for _, o := range os {
@@ -118,68 +120,68 @@
 	return e
 }
 
-// Submit queues a job. The channel carries its pieces; it is closed after the
-// end marker, or without one if the attempt was cancelled.
+// Submit queues a job and returns the channel for its pieces. The channel is closed
+// after the end marker or, if the attempt is canceled, without one.
 func (e *Engine) Submit(j Job) (<-chan protocol.Piece, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.leaving {
 		return nil, protocol.ErrLeaving
 	}
-	if !e.holdsCopy(j.Model, j.Version) {
+	if !e.hasCopy(j.Model, j.Version) {
 		return nil, ErrNoCopy
 	}
 	need := j.Prompt + j.MaxTokens
 	if need > e.capacityFor(j.ReservationID) {
 		return nil, ErrTooLarge
 	}
-	e.arrived++
+	e.arrivals++
 	s := &stream{
 		job:     j,
-		arrival: e.arrived,
+		arrival: e.arrivals,
 		out:     make(chan protocol.Piece, max(j.MaxTokens-j.Resume, 0)+1),
 		next:    j.Resume,
 		pending: j.Prompt,
 		memory:  need,
 	}
-	if _, ok := e.holds[j.ReservationID]; ok {
-		s.memory = 0 // the reservation has paid
+	if _, ok := e.holdings[j.ReservationID]; ok {
+		s.memory = 0 // the holding is already counted as used
 	}
 	e.waiting = append(e.waiting, s)
-	slices.SortStableFunc(e.waiting, byUrgency)
-	e.done.Started++
-	e.rouse()
+	slices.SortStableFunc(e.waiting, compareUrgency)
+	e.totals.Started++
+	e.notify()
 	return s.out, nil
 }
 
-// Cancel ends an attempt and frees its memory at once.
+// Cancel ends an attempt and frees its memory immediately.
 func (e *Engine) Cancel(attempt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		if s.job.Attempt == attempt {
 			e.remove(s)
-			e.done.Cancelled++
+			e.totals.Cancelled++
 		}
 	}
-	e.rouse()
+	e.notify()
 }
 
-// Leave makes the engine refuse new work and say so in its reports.
+// Leave makes the engine refuse new jobs and report that it is leaving.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// Totals returns the counts since the start.
+// Totals returns the counts since the start of the engine.
 func (e *Engine) Totals() Totals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.done
+	return e.totals
 }
 
-// Used returns the KV memory that is occupied or reserved, in tokens.
+// Used returns the KV memory in use or reserved, in tokens.
 func (e *Engine) Used() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -187,12 +189,12 @@
 	return e.used
 }
 
-// Run works until ctx ends.
+// Run processes jobs until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		d := e.plan()
 		if d == 0 {
-			e.rest(ctx)
+			e.waitForWork(ctx)
 			continue
 		}
 		t := time.NewTimer(d)
@@ -205,9 +207,9 @@
 	}
 }
 
-// rest waits until there may be something to do: somebody says so, or a holding
-// expires, whose memory a waiting job may need.
-func (e *Engine) rest(ctx context.Context) {
+// waitForWork waits for a call of notify, or until the next holding expires: a queued
+// job may need its memory.
+func (e *Engine) waitForWork(ctx context.Context) {
 	t := time.NewTimer(e.nextExpiry())
 	defer t.Stop()
 	select {
@@ -217,20 +219,22 @@
 	}
 }
 
-func (e *Engine) rouse() {
+// notify makes [Engine.Run] look for work.
+func (e *Engine) notify() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Engine) holdsCopy(model, version string) bool {
+func (e *Engine) hasCopy(model, version string) bool {
 	return slices.ContainsFunc(e.copies, func(c protocol.Copy) bool {
 		return c.Model == model && (version == "" || c.Version == version)
 	})
 }
 
-// remove takes s out of the engine, frees its memory and closes its stream.
+// remove removes s from the batch or the queue, frees its memory and closes its
+// channel.
 func (e *Engine) remove(s *stream) {
 	if i := slices.Index(e.running, s); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
@@ -239,12 +243,13 @@
 	if i := slices.Index(e.waiting, s); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 	}
-	if !s.gone {
-		s.gone = true
+	if !s.closed {
+		s.closed = true
 		close(s.out)
 	}
 }
 
-func byUrgency(a, b *stream) int {
+// compareUrgency sorts by priority, then by arrival.
+func compareUrgency(a, b *stream) int {
 	return cmp.Or(cmp.Compare(a.job.Priority, b.job.Priority), cmp.Compare(a.arrival, b.arrival))
 }
--- a/standin/engine/link.go
+++ b/standin/engine/link.go
@@ -9,31 +9,34 @@
 	"slipcrank.example/standin/listen"
 )
 
-// linkPeriod is how often an engine looks whether the memory that others lend
-// to it is still there.
-const linkPeriod = 200 * time.Millisecond
+// linkCheckPeriod is the period of checks that the linked holdings of other engines
+// still exist.
+const linkCheckPeriod = 200 * time.Millisecond
 
-// link is memory of another engine that a holding uses.
+// link is a holding of another engine, under the same id, that extends a holding of
+// this one.
 type link struct {
 	from   string
 	tokens int
-	broken bool // the other engine has gone, or does not hold it any more
+	broken bool // the other engine is down or has released the holding
 }
 
-// Link adds tokens of another engine's holding to the one called id here.
+// Link extends the holding id with the given number of tokens of a holding on the
+// engine at from.
 func (e *Engine) Link(id, from string, tokens int) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.holds[id]; !ok {
+	if _, ok := e.holdings[id]; !ok {
 		return ErrTooLarge
 	}
 	e.links[id] = append(e.links[id], link{from: from, tokens: tokens})
 	return nil
 }
 
-// capacityFor returns the most tokens that one job may need.
+// capacityFor returns the maximum number of KV tokens for a job: those of the holding
+// id and its links or, without such a holding, those of the engine.
 func (e *Engine) capacityFor(id string) int {
-	h, ok := e.holds[id]
+	h, ok := e.holdings[id]
 	if !ok {
 		return e.params.KVTokens
 	}
@@ -44,13 +47,14 @@
 	return n
 }
 
-// stuck reports whether a stream needs memory that another engine has lost. It
-// makes no progress then, and is not ended by the engine.
-func (e *Engine) stuck(s *stream) bool {
+// blocked reports whether a stream depends on a broken link. Such a stream makes no
+// progress, and the engine does not end it.
+func (e *Engine) blocked(s *stream) bool {
 	return slices.ContainsFunc(e.links[s.job.ReservationID], func(l link) bool { return l.broken })
 }
 
-// importFrom links the holding of another engine to the one here.
+// importFrom links the holding of another engine to the one of this engine that has
+// the same id.
 func (e *Engine) importFrom(r moveRequest) error {
 	h, err := holdingAt(r.From, r.ID)
 	if err != nil {
@@ -59,7 +63,7 @@
 	return e.Link(r.ID, r.From, h.Tokens)
 }
 
-// holdingAt reads a holding of another engine.
+// holdingAt reads the holding id of the engine at addr.
 func holdingAt(addr, id string) (protocol.Holding, error) {
 	var h holdingsReply
 	if err := listen.Get(addr, "/engine/holdings", &h); err != nil {
@@ -72,9 +76,10 @@
 	return h.Holdings[i], nil
 }
 
-// watchLinks looks again and again whether lent memory is still there.
+// watchLinks periodically checks all links until ctx ends, and marks those that are
+// broken.
 func (e *Engine) watchLinks(ctx context.Context) {
-	t := time.NewTicker(linkPeriod)
+	t := time.NewTicker(linkCheckPeriod)
 	defer t.Stop()
 	for {
 		select {
@@ -82,8 +87,8 @@
 			return
 		case <-t.C:
 		}
-		for id, from := range e.lenders() {
-			for _, a := range from {
+		for id, addrs := range e.linkedEngines() {
+			for _, a := range addrs {
 				if _, err := holdingAt(a, id); err != nil {
 					e.breakLink(id, a)
 				}
@@ -92,8 +97,8 @@
 	}
 }
 
-// lenders returns the addresses of the engines that lend memory, by holding.
-func (e *Engine) lenders() map[string][]string {
+// linkedEngines returns the addresses of the linked engines by the id of the holding.
+func (e *Engine) linkedEngines() map[string][]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := map[string][]string{}
--- a/standin/engine/memory.go
+++ b/standin/engine/memory.go
@@ -7,61 +7,63 @@
 	"slipcrank.example/core/prefix"
 )
 
-// noExpiry is how long an engine without holdings rests unless it is roused.
-const noExpiry = time.Minute
+// maxIdleTime is the maximum time that an idle engine waits before it looks for work.
+const maxIdleTime = time.Minute
 
-// holding is memory kept for somebody until a time.
+// holding is a holding with its expiry on the local clock.
 type holding struct {
 	protocol.Holding
-	until time.Time
+	expiry time.Time
 }
 
-// Reserve keeps memory; a repeat with the same id only moves the expiry.
+// Reserve allocates the memory of a holding. If the id exists already, it only sets
+// the expiry.
 func (e *Engine) Reserve(h protocol.Holding) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.expire()
-	if old, ok := e.holds[h.ID]; ok {
-		old.until = time.Now().Add(h.Expires)
+	if old, ok := e.holdings[h.ID]; ok {
+		old.expiry = time.Now().Add(h.Expires)
 		return nil
 	}
 	if e.used+h.Tokens > e.params.KVTokens {
 		return protocol.ErrBusy
 	}
 	e.used += h.Tokens
-	e.holds[h.ID] = &holding{Holding: h, until: time.Now().Add(h.Expires)}
-	e.cache.shrink(e.free()/prefix.BlockTokens, e.note)
+	e.holdings[h.ID] = &holding{Holding: h, expiry: time.Now().Add(h.Expires)}
+	e.cache.shrink(e.free()/prefix.BlockTokens, e.recordEvent)
 	return nil
 }
 
-// Release gives a holding back.
+// Release frees the memory of a holding.
 func (e *Engine) Release(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.release(id)
-	e.rouse()
+	e.notify()
 }
 
+// release frees a holding and its links. The caller holds e.mu.
 func (e *Engine) release(id string) {
-	h, ok := e.holds[id]
+	h, ok := e.holdings[id]
 	if !ok {
 		return
 	}
 	e.used -= h.Tokens
-	delete(e.holds, id)
+	delete(e.holdings, id)
 	delete(e.links, id)
 }
 
-// Holdings lists reservations, and the memory of each stream under the kind
-// "stream".
+// Holdings lists the holdings, and the memory of each running stream as a holding of
+// the kind "stream".
 func (e *Engine) Holdings() []protocol.Holding {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.expire()
 	var out []protocol.Holding
-	for _, h := range e.holds {
+	for _, h := range e.holdings {
 		c := h.Holding
-		c.Expires = time.Until(h.until)
+		c.Expires = time.Until(h.expiry)
 		out = append(out, c)
 	}
 	for _, s := range e.running {
@@ -70,26 +72,25 @@
 	return out
 }
 
-// nextExpiry is how long it takes until the next holding expires, or noExpiry if
-// there is none.
+// nextExpiry returns the time until the next holding expires, at most maxIdleTime.
 func (e *Engine) nextExpiry() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	next := noExpiry
-	for _, h := range e.holds {
-		next = min(next, time.Until(h.until))
+	next := maxIdleTime
+	for _, h := range e.holdings {
+		next = min(next, time.Until(h.expiry))
 	}
 	return next
 }
 
-// expire gives back the holdings whose time has passed, and lets jobs in that
-// wait for their memory, whoever it is that notices.
+// expire frees the expired holdings. It calls notify, since jobs may wait for their
+// memory and the caller need not be [Engine.Run].
 func (e *Engine) expire() {
 	now := time.Now()
-	for id, h := range e.holds {
-		if !now.Before(h.until) {
+	for id, h := range e.holdings {
+		if !now.Before(h.expiry) {
 			e.release(id)
-			e.rouse()
+			e.notify()
 		}
 	}
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -7,8 +7,8 @@
 	protocol "slipcrank.example/clients/engine"
 )
 
-// Command carries out an order. An engine that checks the fence refuses one
-// below the highest it has seen.
+// Command executes an order. With Params.ChecksFence set, it refuses an order whose
+// fence is lower than the highest received.
 func (e *Engine) Command(o protocol.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -28,6 +28,7 @@
 	return nil
 }
 
+// load adds a copy that has finished loading.
 func (e *Engine) load(c protocol.Copy) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -36,17 +37,17 @@
 	}
 }
 
-// Report returns the newest load report that is at least as old as the lag.
-// Whether the engine is leaving, and what it holds, is always current.
+// Report returns the latest load report that is at least Params.ReportLag old, or the
+// oldest one if none is. Its fields Leaving and Copies are always current.
 func (e *Engine) Report() protocol.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.expire()
 	now := time.Now()
 	e.reports = append(e.reports, timedReport{at: now, report: e.current()})
-	shown := now.Add(-e.params.ReportLag)
+	cutoff := now.Add(-e.params.ReportLag)
 	i := 0
-	for i+1 < len(e.reports) && !e.reports[i+1].at.After(shown) {
+	for i+1 < len(e.reports) && !e.reports[i+1].at.After(cutoff) {
 		i++
 	}
 	e.reports = e.reports[i:]
@@ -57,6 +58,7 @@
 	return r
 }
 
+// current returns a report of the current load.
 func (e *Engine) current() protocol.Report {
 	r := protocol.Report{
 		Incarnation: e.incarnation,
--- a/standin/engine/params.go
+++ b/standin/engine/params.go
@@ -7,36 +7,36 @@
 )
 
 type (
-	// Params are the numbers of the step-time model. Users' true numbers are
-	// not known, so each is a parameter.
+	// Params are the parameters of the step-time model. They are configurable, since
+	// the figures of the users' real engines are not known.
 	Params struct {
-		// StepBase is the time of a step with no work in it.
+		// StepBase is the duration of a step without work.
 		StepBase time.Duration
-		// StepPerStream is added for each stream that decodes.
+		// StepPerStream is the time that each decoding stream adds to a step.
 		StepPerStream time.Duration
-		// PrefillRate is in prompt tokens a second.
+		// PrefillRate is in prompt tokens per second.
 		PrefillRate float64
-		// ChunkTokens bounds the prompt tokens of one step.
+		// ChunkTokens is the maximum number of prompt tokens per step.
 		ChunkTokens int
-		// MaxStreams bounds the streams in a batch.
+		// MaxStreams is the maximum number of streams in a batch.
 		MaxStreams int
-		// KVTokens is the KV memory, in tokens.
+		// KVTokens is the size of the KV memory, in tokens.
 		KVTokens int
-		// ReportLag is the age of load reports.
+		// ReportLag is the minimum age of load reports.
 		ReportLag time.Duration
-		// EventLag is the age that a cache event reaches before it is shown.
+		// EventLag is the minimum age of the cache events that are returned.
 		EventLag time.Duration
-		// LoadTime is how long loading a model copy takes.
+		// LoadTime is the time that loading a model copy takes.
 		LoadTime time.Duration
-		// ChecksFence says whether old fencing numbers are refused.
+		// ChecksFence is set if orders with a fence out of date are refused.
 		ChecksFence bool
 	}
 
-	// Option changes an engine under construction.
+	// Option configures an [Engine].
 	Option func(*Engine)
 )
 
-// DefaultParams returns the numbers used by the dev system.
+// DefaultParams returns the parameters of the development system.
 func DefaultParams() Params {
 	return Params{
 		StepBase:      12 * time.Millisecond,
@@ -52,22 +52,24 @@
 	}
 }
 
-// WithParams sets the numbers of the step-time model.
+// WithParams sets the parameters of the step-time model.
 func WithParams(p Params) Option { return func(e *Engine) { e.params = p } }
 
-// WithCopies sets the model copies that the engine holds at its start.
+// WithCopies adds model copies that are loaded from the start.
 func WithCopies(cs ...protocol.Copy) Option {
 	return func(e *Engine) { e.copies = append(e.copies, cs...) }
 }
 
-// WithFatalPrompts sets what is asked of each prompt as its run begins. If it returns
-// true, the engine runs it no further: whoever asked has to end the engine.
-func WithFatalPrompts(f func(prompt string) bool) Option { return func(e *Engine) { e.deadly = f } }
+// WithFatalPrompts sets a function that reports whether a prompt crashes the engine.
+// For such a prompt the engine only closes the connection; f has to stop the engine.
+func WithFatalPrompts(f func(prompt string) bool) Option { return func(e *Engine) { e.fatal = f } }
 
-// WithDropEvent sets a seam that says whether a cache event is lost.
+// WithDropEvent sets a function that reports whether the cache event with this number
+// is lost.
 func WithDropEvent(f func(number uint64) bool) Option {
 	return func(e *Engine) { e.dropEvent = f }
 }
 
-// WithIncarnation sets the incarnation; the default is the time of start.
+// WithIncarnation sets the incarnation. The default is the Unix time of [New] in
+// nanoseconds.
 func WithIncarnation(n uint64) Option { return func(e *Engine) { e.incarnation = n } }
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -20,7 +20,8 @@
 
 const (
 	defaultMaxTokens = 64
-	beat             = time.Second
+	// keepAlivePeriod is the period of keep-alive comments in a stream.
+	keepAlivePeriod = time.Second
 )
 
 type (
@@ -59,8 +60,8 @@
 	}
 )
 
-// Serve answers HTTP on addr until ctx ends; the engine runs as long. It
-// returns the address that it got.
+// Serve runs the engine and its HTTP server on addr until ctx ends. It returns the
+// address on which the server listens.
 func (e *Engine) Serve(ctx context.Context, addr string) (string, error) {
 	go e.Run(ctx)
 	go e.watchLinks(ctx)
@@ -104,11 +105,11 @@
 	if !listen.Read(c, &r) {
 		return
 	}
-	if e.deadly(r.Prompt) {
-		_ = c.Conn().Close() // as the end of the engine does
+	if e.fatal(r.Prompt) {
+		_ = c.Conn().Close() // as a crash of the engine would
 		return
 	}
-	s, err := e.Submit(jobOf(c, r))
+	s, err := e.Submit(newJob(c, r))
 	if err != nil {
 		c.Error(err.Error(), statusOf(err))
 		return
@@ -116,13 +117,14 @@
 	attempt := string(c.Request.Header.Peek(protocol.HeaderAttempt))
 	c.SetContentType("text/event-stream")
 	c.SetBodyStreamWriter(func(w *bufio.Writer) {
-		if err := send(w, s); err != nil {
-			e.Cancel(attempt) // the reader has gone: free its memory
+		if err := writeEvents(w, s); err != nil {
+			e.Cancel(attempt) // the client has closed the connection
 		}
 	})
 }
 
-func jobOf(c *fasthttp.RequestCtx, r generateRequest) Job {
+// newJob returns the job of a request.
+func newJob(c *fasthttp.RequestCtx, r generateRequest) Job {
 	text := r.Prompt
 	if len(r.Messages) > 0 {
 		var b strings.Builder
@@ -154,10 +156,10 @@
 	}
 }
 
-// send writes a stream as server-sent events, each flushed by itself, and a
-// comment now and then while there is none.
-func send(w *bufio.Writer, s <-chan protocol.Piece) error {
-	t := time.NewTicker(beat)
+// writeEvents writes a stream as server-sent events and flushes after each. While
+// there is no piece, it writes a keep-alive comment once per keepAlivePeriod.
+func writeEvents(w *bufio.Writer, s <-chan protocol.Piece) error {
+	t := time.NewTicker(keepAlivePeriod)
 	defer t.Stop()
 	for {
 		select {
--- a/standin/engine/step.go
+++ b/standin/engine/step.go
@@ -9,8 +9,8 @@
 	"slipcrank.example/core/prefix"
 )
 
-// plan admits what fits and returns the time of the next step, or 0 if there
-// is nothing to do.
+// plan admits jobs and returns the duration of the next step, or 0 if the batch is
+// empty.
 func (e *Engine) plan() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -25,12 +25,12 @@
 			d += e.params.StepPerStream
 		}
 	}
-	d += time.Duration(float64(e.chunk()) / e.params.PrefillRate * float64(time.Second))
+	d += time.Duration(float64(e.nextChunk()) / e.params.PrefillRate * float64(time.Second))
 	return max(d, time.Microsecond)
 }
 
-// admit moves waiting jobs into the batch, most urgent first, until one does
-// not fit.
+// admit moves jobs from the queue into the batch, most urgent first, until the memory
+// does not suffice for the next one or the batch is full.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.params.MaxStreams {
 		s := e.waiting[0]
@@ -39,16 +39,16 @@
 		}
 		e.waiting = e.waiting[1:]
 		e.used += s.memory
-		e.cache.shrink(e.free()/prefix.BlockTokens, e.note)
-		s.cached = e.cache.longest(s.job.Chain) * prefix.BlockTokens
+		e.cache.shrink(e.free()/prefix.BlockTokens, e.recordEvent)
+		s.cached = e.cache.touchPrefix(s.job.Chain) * prefix.BlockTokens
 		s.pending = s.job.Prompt - s.cached
 		e.running = append(e.running, s)
-		slices.SortStableFunc(e.running, byUrgency)
+		slices.SortStableFunc(e.running, compareUrgency)
 	}
 }
 
-// chunk returns the prompt tokens that the next step prefills.
-func (e *Engine) chunk() int {
+// nextChunk returns the number of prompt tokens that the next step prefills.
+func (e *Engine) nextChunk() int {
 	n := 0
 	for _, s := range e.running {
 		n += s.pending
@@ -56,22 +56,22 @@
 	return min(n, e.params.ChunkTokens)
 }
 
-// step does the work of the step whose time has passed.
+// step applies the effects of a step, after its duration.
 func (e *Engine) step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	budget := e.params.ChunkTokens
 	for _, s := range slices.Clone(e.running) {
-		if e.stuck(s) {
+		if e.blocked(s) {
 			continue
 		}
 		if s.pending > 0 {
 			n := min(budget, s.pending)
 			s.pending -= n
 			budget -= n
-			e.done.PrefillTokens += n
+			e.totals.PrefillTokens += n
 			if s.pending == 0 && n > 0 {
-				e.cache.add(s.job.Chain, e.free()/prefix.BlockTokens, e.note)
+				e.cache.add(s.job.Chain, e.free()/prefix.BlockTokens, e.recordEvent)
 			}
 			continue
 		}
@@ -79,7 +79,7 @@
 	}
 }
 
-// emit sends the next token of s, or its end marker.
+// emit sends the next token of s, and the end marker after the last token.
 func (e *Engine) emit(s *stream) {
 	p := protocol.Piece{
 		Request:     s.job.Request,
@@ -90,7 +90,7 @@
 	if s.next < s.job.MaxTokens {
 		p.Text = Token(s.job.Seed, s.next)
 		s.next++
-		e.done.OutputTokens++
+		e.totals.OutputTokens++
 		s.out <- p
 	}
 	if s.next < s.job.MaxTokens {
@@ -100,14 +100,14 @@
 	p.End, p.Finish = true, "length"
 	p.Prompt, p.Cached = s.job.Prompt, s.cached
 	s.out <- p
-	e.done.Finished++
+	e.totals.Finished++
 	e.remove(s)
 }
 
 func (e *Engine) free() int { return e.params.KVTokens - e.used }
 
-// Token returns the text of one token: the same for the same seed and offset
-// on every engine, so that a resumed stream goes on where it was cut.
+// Token returns the text of one token. It depends only on the seed and the offset, so
+// that a stream can be resumed on another engine.
 func Token(seed uint64, offset int) string {
 	const mix = 0x9e3779b97f4a7c15
 	x := (seed + uint64(offset)) * mix
