--- a/standin/listen/listen.go
+++ b/standin/listen/listen.go
@@ -1,4 +1,4 @@
-// Package listen holds what the HTTP fronts of the stand-ins share.
+// Package listen has the HTTP server and the request helpers that all stand-ins use.
 //
 // # Usage
 //
@@ -16,17 +16,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxBody bounds a request, in bytes: a prompt of a million tokens and some.
-const maxBody = 32 << 20
+// maxBodyBytes is the maximum size of a request body, enough for a prompt of more
+// than a million tokens.
+const maxBodyBytes = 32 << 20
 
-// Serve answers on addr until ctx ends, then closes all connections, and
-// returns the address that it got.
+// Serve starts an HTTP server on addr and returns the address on which it listens.
+// When ctx ends, the server stops and closes all connections.
 func Serve(ctx context.Context, addr string, h fasthttp.RequestHandler) (string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", errors.Wrapf(err, "listen on %s", addr)
 	}
-	s := &fasthttp.Server{Handler: h, MaxRequestBodySize: maxBody, CloseOnShutdown: true, Logger: quiet{}}
+	s := &fasthttp.Server{Handler: h, MaxRequestBodySize: maxBodyBytes, CloseOnShutdown: true, Logger: discardLogger{}}
 	t := &tracker{Listener: l, conns: map[net.Conn]bool{}}
 	go func() { _ = s.Serve(t) }()
 	context.AfterFunc(ctx, t.closeAll)
@@ -34,8 +35,8 @@
 }
 
 type (
-	// tracker knows the open connections, so that a stand-in that dies breaks
-	// them off as a killed process would.
+	// tracker is a listener that tracks its open connections, so that a stand-in
+	// can close them all at once, as the end of its process would.
 	tracker struct {
 		net.Listener
 		mu    sync.Mutex
@@ -47,12 +48,12 @@
 		tracker *tracker
 	}
 
-	// quiet drops what the library says about broken connections, which
-	// tests cause on purpose.
-	quiet struct{}
+	// discardLogger discards the messages of fasthttp about broken connections,
+	// which tests cause on purpose.
+	discardLogger struct{}
 )
 
-// Accept implements net.Listener.
+// Accept implements [net.Listener].
 func (t *tracker) Accept() (net.Conn, error) {
 	c, err := t.Listener.Accept()
 	if err != nil {
@@ -60,12 +61,12 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x := trackedConn{Conn: c, tracker: t}
-	t.conns[x] = true
-	return x, nil
+	tracked := trackedConn{Conn: c, tracker: t}
+	t.conns[tracked] = true
+	return tracked, nil
 }
 
-// Close implements net.Conn.
+// Close implements [net.Conn].
 func (c trackedConn) Close() error {
 	c.tracker.mu.Lock()
 	delete(c.tracker.conns, c)
@@ -73,21 +74,22 @@
 	return c.Conn.Close()
 }
 
+// closeAll closes the listener and all open connections.
 func (t *tracker) closeAll() {
 	_ = t.Listener.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.conns {
-		if x, ok := c.(trackedConn); ok {
-			_ = x.Conn.Close()
+		if tracked, ok := c.(trackedConn); ok {
+			_ = tracked.Conn.Close()
 		}
 	}
 }
 
-// Printf implements the library's logger.
-func (quiet) Printf(string, ...any) {}
+// Printf implements [fasthttp.Logger].
+func (discardLogger) Printf(string, ...any) {}
 
-// Reply writes v as JSON.
+// Reply responds with v as JSON.
 func Reply(c *fasthttp.RequestCtx, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -98,7 +100,8 @@
 	c.SetBody(b)
 }
 
-// Read decodes the request into v, or answers that it is malformed.
+// Read decodes the JSON body of a request into v. If that fails, it responds with
+// status 400 and returns false.
 func Read(c *fasthttp.RequestCtx, v any) bool {
 	if err := json.Unmarshal(c.PostBody(), v); err != nil {
 		c.Error(err.Error(), http.StatusBadRequest)
@@ -107,8 +110,8 @@
 	return true
 }
 
-// Handle decodes a request, does f, and answers its error with the status
-// that the first of status gives, or with 500.
+// Handle decodes a request and calls f. It responds with an empty JSON object, or with
+// the error of f and the status that status[0] returns for it, 500 if status is empty.
 func Handle[T any](c *fasthttp.RequestCtx, f func(T) error, status ...func(error) int) {
 	var r T
 	if !Read(c, &r) {
@@ -126,7 +129,7 @@
 	c.Error(err.Error(), code)
 }
 
-// Get reads JSON from another stand-in.
+// Get sends a GET request to another stand-in and decodes the JSON response into v.
 func Get(addr, path string, v any) error {
 	code, b, err := fasthttp.Get(nil, "http://"+addr+path)
 	if err != nil {
