--- a/standin/oldsite/oldsite.go
+++ b/standin/oldsite/oldsite.go
@@ -1,6 +1,6 @@
-// Package oldsite is a small stand-in for the old site: it speaks the callers'
-// protocol, answers completions with a few fixed words, and runs calls to
-// plain services, which it counts by key like an application runner.
+// Package oldsite is a stand-in for the old site, for tests and the development
+// system. It has the callers' HTTP interface, answers completions with a fixed text,
+// and counts calls to plain services by key as package runner does.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 	"slipcrank.example/standin/runner"
 )
 
-// TokenText is what each token of the old site's answers says.
+// TokenText is the text of each token in the answers of the old site.
 const TokenText = "old "
 
 type (
@@ -33,7 +33,7 @@
 		completed atomic.Int64
 	}
 
-	// Option changes a site under construction.
+	// Option configures a [Site].
 	Option func(*Site)
 
 	completionRequest struct {
@@ -42,7 +42,7 @@
 	}
 )
 
-// WithPause sets the time between two tokens.
+// WithPause sets the time between the tokens of a stream.
 func WithPause(d time.Duration) Option { return func(s *Site) { s.pause = d } }
 
 // New returns a site.
@@ -54,10 +54,11 @@
 	return s
 }
 
-// Completed returns the number of completions that were asked for.
+// Completed returns the number of completion requests received.
 func (s *Site) Completed() int64 { return s.completed.Load() }
 
-// Serve answers HTTP on addr until ctx ends and returns the address it got.
+// Serve starts an HTTP server on addr, which runs until ctx ends, and returns the
+// address on which it listens.
 func (s *Site) Serve(ctx context.Context, addr string) (string, error) {
 	return listen.Serve(ctx, addr, func(c *fasthttp.RequestCtx) {
 		if strings.HasPrefix(string(c.Path()), "/v1/") {
