--- a/standin/platform/handlers.go
+++ b/standin/platform/handlers.go
@@ -15,6 +15,7 @@
 )
 
 type (
+	// handlers handles the HTTP requests.
 	handlers struct {
 		platform *Platform
 		store    store.Store
@@ -51,37 +52,38 @@
 func (h *handlers) handle(ctx context.Context, c *fasthttp.RequestCtx) {
 	switch string(c.Path()) {
 	case "/table/commit":
-		answer(c, func(r commitRequest) (store.Outcome, error) { return h.store.Commit(ctx, r.Writes) })
+		respond(c, func(r commitRequest) (store.Outcome, error) { return h.store.Commit(ctx, r.Writes) })
 	case "/table/read":
-		answer(c, func(r readRequest) (rowsReply, error) {
+		respond(c, func(r readRequest) (rowsReply, error) {
 			rows, err := h.store.Read(ctx, r.Refs)
 			return rowsReply{Rows: rows}, err
 		})
 	case "/table/scan":
-		answer(c, func(r scanRequest) (rowsReply, error) {
+		respond(c, func(r scanRequest) (rowsReply, error) {
 			rows, err := h.store.Scan(ctx, r.Table, r.After, r.Limit)
 			return rowsReply{Rows: rows}, err
 		})
 	case "/object/put":
-		answer(c, func(r objectBody) (struct{}, error) { return struct{}{}, h.store.PutObject(ctx, r.Name, r.Bytes) })
+		respond(c, func(r objectBody) (struct{}, error) { return struct{}{}, h.store.PutObject(ctx, r.Name, r.Bytes) })
 	case "/object/get":
-		answer(c, func(r objectBody) (objectBody, error) {
+		respond(c, func(r objectBody) (objectBody, error) {
 			b, err := h.store.GetObject(ctx, r.Name)
 			return objectBody{Name: r.Name, Bytes: b}, err
 		})
 	case "/object/delete":
-		answer(c, func(r objectBody) (struct{}, error) { return struct{}{}, h.store.DeleteObject(ctx, r.Name) })
+		respond(c, func(r objectBody) (struct{}, error) { return struct{}{}, h.store.DeleteObject(ctx, r.Name) })
 	default:
 		h.control(c)
 	}
 }
 
-// control serves the host list, and what tests and the dev system steer.
+// control handles the host list, and the requests by which tests and the development
+// system control the stand-in.
 func (h *handlers) control(c *fasthttp.RequestCtx) {
 	p := h.platform
 	switch string(c.Path()) {
 	case "/hosts":
-		p.tally("hosts")
+		p.countRequest("hosts")
 		f := p.decide("hosts")
 		time.Sleep(f.Delay)
 		if f.Down || f.LoseAnswer {
@@ -89,9 +91,9 @@
 			return
 		}
 		listen.Reply(c, hostsBody{Hosts: p.Hosts()})
-		tag := strconv.FormatUint(xxhash.Sum64(c.Response.Body()), 16)
-		c.Response.Header.Set(fasthttp.HeaderETag, tag)
-		if string(c.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == tag {
+		etag := strconv.FormatUint(xxhash.Sum64(c.Response.Body()), 16)
+		c.Response.Header.Set(fasthttp.HeaderETag, etag)
+		if string(c.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == etag {
 			c.ResetBody()
 			c.SetStatusCode(http.StatusNotModified)
 		}
@@ -106,7 +108,8 @@
 	}
 }
 
-func answer[I, O any](c *fasthttp.RequestCtx, f func(I) (O, error)) {
+// respond decodes a request, calls f and responds with its result or its error.
+func respond[I, O any](c *fasthttp.RequestCtx, f func(I) (O, error)) {
 	var in I
 	if !listen.Read(c, &in) {
 		return
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,9 +1,10 @@
-// Package platform is a small stand-in for the platform: the transactional
-// table service, the object store, the host list with its lag, and the weight
-// store's rate limit. Its data live in a [store.Memory].
+// Package platform is a stand-in for the platform, for tests and the development
+// system. It provides the transactional table service, the object store, the host
+// list with its delay, and rate limits. Its data is in a [store.Memory] unless
+// [WithStore] sets another store.
 //
-// Faults are injected by calls: [Platform.SetFault] for what every request
-// meets, and the function field of [WithFault] for what one request meets.
+// Faults are injected with [Platform.SetFault] for all requests, or with [WithFault]
+// for single ones.
 //
 // # Usage
 //
@@ -28,18 +29,18 @@
 )
 
 const (
-	defaultWrites = 300  // commits a second
-	defaultReads  = 2000 // reads and scans a second
+	defaultWriteRate = 300  // commits per second
+	defaultReadRate  = 2000 // reads and scans per second
 )
 
-var errRate = errors.New("rate limit met; nothing was done")
+var errRateLimit = errors.New("rate limit met; nothing was done")
 
 type (
-	// Fault is what a request to the platform meets.
+	// Fault is a fault that is injected into a request.
 	Fault struct {
 		Down       bool          `json:"down"`
 		Delay      time.Duration `json:"delay"`
-		LoseAnswer bool          `json:"lose_answer"` // after the action took effect
+		LoseAnswer bool          `json:"lose_answer"` // the request takes effect, but its response is lost
 	}
 
 	// Platform is the stand-in. Use [New].
@@ -56,16 +57,16 @@
 		count Counts
 	}
 
-	// Counts of requests since the start.
+	// Counts has the numbers of requests since the start.
 	Counts struct {
 		Writes  int `json:"writes"`
 		Reads   int `json:"reads"`
 		Lists   int `json:"lists"`
-		Gets    int `json:"gets"` // reads of objects, which count as reads too
+		Gets    int `json:"gets"` // reads of objects, which are also counted as Reads
 		Refused int `json:"refused"`
 	}
 
-	// Option changes a platform under construction.
+	// Option configures a [Platform].
 	Option func(*Platform)
 
 	timedHosts struct {
@@ -74,11 +75,12 @@
 	}
 )
 
-// WithFault sets a seam that decides the fault of each request by its kind:
-// "commit", "read", "scan", "put", "get", "delete" or "hosts".
+// WithFault sets a function that returns the fault for each request, by its operation:
+// "commit", "read", "scan", "put", "get", "delete" or "hosts". It replaces the fault
+// of [Platform.SetFault].
 func WithFault(f func(op string) Fault) Option { return func(p *Platform) { p.decide = f } }
 
-// WithRates sets the limits, in commits and reads a second.
+// WithRates sets the rate limits, in writes and reads per second.
 func WithRates(writes, reads float64) Option {
 	return func(p *Platform) {
 		p.writes = rate.NewLimiter(rate.Limit(writes), int(writes))
@@ -86,59 +88,60 @@
 	}
 }
 
-// WithHostLag sets how long the host list lags behind [Platform.SetHosts].
+// WithHostLag sets the delay after which readers see the hosts set by
+// [Platform.SetHosts].
 func WithHostLag(d time.Duration) Option { return func(p *Platform) { p.lag = d } }
 
-// WithStore sets the tables and objects, in the place of empty ones.
+// WithStore sets the store of tables and objects; the default is an empty one.
 func WithStore(s store.Store) Option { return func(p *Platform) { p.store = s } }
 
-// New returns a platform with no data and no faults.
+// New returns a platform without data and faults.
 func New(os ...Option) *Platform {
 	p := &Platform{store: store.NewMemory().Store()}
 	p.decide = func(string) Fault { return p.currentFault() }
-	WithRates(defaultWrites, defaultReads)(p)
+	WithRates(defaultWriteRate, defaultReadRate)(p)
 	for _, o := range os {
 		o(p)
 	}
 	return p
 }
 
-// SetFault sets what every request meets from now on.
+// SetFault sets the fault that is injected into all further requests.
 func (p *Platform) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 }
 
-// SetHosts sets the host list; readers see it after the lag.
+// SetHosts sets the host list, which readers see after the delay of [WithHostLag].
 func (p *Platform) SetHosts(hs []hosts.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = append(p.hosts, timedHosts{at: time.Now(), hosts: hs})
 }
 
-// Hosts returns the list as readers see it now.
+// Hosts returns the host list that readers see at present.
 func (p *Platform) Hosts() []hosts.Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	shown := time.Now().Add(-p.lag)
+	cutoff := time.Now().Add(-p.lag)
 	var out []hosts.Host
 	for i, t := range p.hosts {
-		if i == 0 || !t.at.After(shown) {
+		if i == 0 || !t.at.After(cutoff) {
 			out = t.hosts
 		}
 	}
 	return out
 }
 
-// Counts returns the requests since the start.
+// Counts returns the numbers of requests since the start.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count
 }
 
-// Store returns the tables and objects with the faults and limits in force,
+// Store returns the store of tables and objects with faults and rate limits applied,
 // for use without HTTP.
 func (p *Platform) Store() store.Store {
 	return store.Store{
@@ -163,41 +166,41 @@
 	}
 }
 
-// guardWrite is [guard] for a change of an object.
+// guardWrite is [guard] for writes of objects.
 func (p *Platform) guardWrite(op string, f func() error) error {
 	_, err := guard(p, op, p.writes, func() (struct{}, error) { return struct{}{}, f() })
 	return err
 }
 
-// Raw returns the tables and objects without faults and limits, for tests
-// that look at what is stored.
+// Raw returns the store of tables and objects without faults and rate limits, for
+// tests that inspect the stored data.
 func (p *Platform) Raw() store.Store { return p.store }
 
-// guard does f under the limits and the fault of the moment.
+// guard counts the request, applies the fault and the rate limit l, and calls f.
 func guard[T any](p *Platform, op string, l *rate.Limiter, f func() (T, error)) (T, error) {
-	var none T
-	p.tally(op)
-	x := p.decide(op)
-	time.Sleep(x.Delay)
-	if x.Down {
-		return none, errDown
+	var zero T
+	p.countRequest(op)
+	fault := p.decide(op)
+	time.Sleep(fault.Delay)
+	if fault.Down {
+		return zero, errDown
 	}
 	if !l.Allow() {
 		p.mu.Lock()
 		p.count.Refused++
 		p.mu.Unlock()
-		return none, errors.Mark(errRate, store.ErrRefused)
+		return zero, errors.Mark(errRateLimit, store.ErrRefused)
 	}
 	v, err := f()
-	if x.LoseAnswer {
-		return none, errDown
+	if fault.LoseAnswer {
+		return zero, errDown
 	}
 	return v, err
 }
 
 var errDown = errors.New("no answer from the platform")
 
-func (p *Platform) tally(op string) {
+func (p *Platform) countRequest(op string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch op {
@@ -226,7 +229,8 @@
 	return http.StatusGatewayTimeout
 }
 
-// Serve answers HTTP on addr until ctx ends and returns the address it got.
+// Serve starts an HTTP server on addr, which runs until ctx ends, and returns the
+// address on which it listens.
 func (p *Platform) Serve(ctx context.Context, addr string) (string, error) {
 	h := &handlers{platform: p, store: p.Store()}
 	return listen.Serve(ctx, addr, func(c *fasthttp.RequestCtx) { h.handle(ctx, c) })
