--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -1,5 +1,6 @@
-// Package runner is a small stand-in for an application runner: a plain
-// service that counts how often each key was run, whoever asks.
+// Package runner is a stand-in for an application runner, for tests and the
+// development system: a plain service that counts the calls with each idempotency
+// key, regardless of the caller.
 //
 // # Usage
 //
@@ -21,14 +22,14 @@
 type (
 	// Runner is the stand-in. Use [New].
 	Runner struct {
-		delay func(key string) time.Duration
-		close func(key string) bool
+		delay     func(key string) time.Duration
+		closeConn func(key string) bool
 
 		mu     sync.Mutex
 		counts map[string]int
 	}
 
-	// Option changes a runner under construction.
+	// Option configures a [Runner].
 	Option func(*Runner)
 
 	countsReply struct {
@@ -42,19 +43,20 @@
 	}
 )
 
-// WithDelay sets a seam for the time that a call takes after it was counted.
+// WithDelay sets a function that returns the time that a call takes after it has been
+// counted.
 func WithDelay(f func(key string) time.Duration) Option { return func(r *Runner) { r.delay = f } }
 
-// WithCloseConn sets a seam that says whether a call is counted and then its
-// connection closed with no answer.
-func WithCloseConn(f func(key string) bool) Option { return func(r *Runner) { r.close = f } }
+// WithCloseConn sets a function that reports whether the connection of a call is closed
+// without a response, after the call has been counted.
+func WithCloseConn(f func(key string) bool) Option { return func(r *Runner) { r.closeConn = f } }
 
-// New returns a runner that answers at once.
+// New returns a runner that responds without delay.
 func New(os ...Option) *Runner {
 	r := &Runner{
-		delay:  func(string) time.Duration { return 0 },
-		close:  func(string) bool { return false },
-		counts: map[string]int{},
+		delay:     func(string) time.Duration { return 0 },
+		closeConn: func(string) bool { return false },
+		counts:    map[string]int{},
 	}
 	for _, o := range os {
 		o(r)
@@ -62,14 +64,14 @@
 	return r
 }
 
-// Count returns how often a key was run.
+// Count returns the number of calls with a key.
 func (r *Runner) Count(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[key]
 }
 
-// Counts returns how often each key was run.
+// Counts returns the number of calls with each key.
 func (r *Runner) Counts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,12 +82,14 @@
 	return out
 }
 
-// Serve answers HTTP on addr until ctx ends and returns the address it got.
+// Serve starts an HTTP server on addr, which runs until ctx ends, and returns the
+// address on which it listens.
 func (r *Runner) Serve(ctx context.Context, addr string) (string, error) {
 	return listen.Serve(ctx, addr, r.Handle)
 }
 
-// Handle runs one call.
+// Handle counts one call and responds to it. The path /control/counts returns the
+// counts instead.
 func (r *Runner) Handle(c *fasthttp.RequestCtx) {
 	if string(c.Path()) == "/control/counts" {
 		listen.Reply(c, countsReply{Counts: r.Counts()})
@@ -97,7 +101,7 @@
 	n := r.counts[k]
 	r.mu.Unlock()
 	time.Sleep(r.delay(k))
-	if r.close(k) {
+	if r.closeConn(k) {
 		_ = c.Conn().Close()
 		return
 	}
