--- a/daemon/settings/entry.go
+++ b/daemon/settings/entry.go
@@ -2,42 +2,44 @@
 
 import "time"
 
-// What a host does with keys once nobody has proven for KeyProof that they are
-// still in force.
+// The values of UnprovenKeys.
 const (
-	// RefuseUnproven refuses all requests with keys: no key outlives its bound.
+	// RefuseUnproven refuses all requests with API keys, so that no revoked key is
+	// accepted for longer than Bounds.KeyProof.
 	RefuseUnproven UnprovenKeys = "refuse"
-	// ServeUnproven goes on by the last configuration known: a key that was
-	// taken away meanwhile stays in use until the host hears of it.
+	// ServeUnproven continues with the last configuration received. A key that has
+	// been revoked since is accepted until the host receives the change.
 	ServeUnproven UnprovenKeys = "serve"
 )
 
 type (
-	// UnprovenKeys is RefuseUnproven, which also holds where nothing is set,
-	// or ServeUnproven.
+	// UnprovenKeys says how a host handles requests with API keys if it has had no
+	// proof for Bounds.KeyProof that the keys are still valid. The empty value means
+	// RefuseUnproven.
 	UnprovenKeys string
 
-	// Entry are the settings of a daemon that serves as an entry host before
-	// backend servers that speak for themselves: an immutable value.
+	// Entry has the settings of a daemon that serves as an entry host for plain
+	// backend servers. It is an immutable value.
 	Entry struct {
-		// Host names this host.
+		// Host is the name of this host.
 		Host string `yaml:"host" validate:"required,max=63"`
-		// Hall is the data hall in which it stands.
+		// Hall is the data hall of this host.
 		Hall   string      `yaml:"hall" validate:"required,max=63"`
 		Listen EntryListen `yaml:"listen"`
-		// Platform is the IP number and port of the platform's store.
+		// Platform is the IP address and port of the platform's store.
 		Platform string `yaml:"platform" validate:"required,ipport"`
 		Bounds   Bounds `yaml:"bounds"`
-		// Link is the bandwidth of the host's link in Mbit/s, 0 if it isn't
-		// known. Hosts with wider links tell others what they read.
+		// Link is the bandwidth of the host's network link in Mbit/s, 0 if it is
+		// unknown. Hosts with faster links relay to others what they read from
+		// the platform.
 		Link float64 `yaml:"link" validate:"gte=0"`
-		// FirstStart is set when all hosts of the site start for the first
-		// time: each then waits for the others before it asks the platform.
+		// FirstStart is set if all hosts of the site start for the first time. Each
+		// then waits for the others before it reads from the platform.
 		FirstStart bool `yaml:"first_start"`
 	}
 
-	// EntryListen has the addresses of an entry host, each an IP number and a
-	// port.
+	// EntryListen has the listening addresses of an entry host, each an IP address
+	// and a port.
 	EntryListen struct {
 		Callers   string `yaml:"callers" validate:"required,ipport"`
 		Readiness string `yaml:"readiness" validate:"required,ipport"`
@@ -45,25 +47,26 @@
 		News      string `yaml:"news" validate:"required,ipport"`
 	}
 
-	// Bounds are what operators promise their callers.
+	// Bounds has the limits that operators guarantee to their callers.
 	Bounds struct {
-		// KeyProof is how long after a key is taken away it may still be
-		// used.
+		// KeyProof is the maximum time for which an API key is accepted after it
+		// has been revoked.
 		KeyProof time.Duration `yaml:"key_proof" validate:"gte=500ms,lte=10m"`
-		// UnprovenKeys is what becomes of requests with keys when KeyProof has
-		// passed without a proof that the keys are in force.
+		// UnprovenKeys says whether requests with API keys are served or refused
+		// after KeyProof has passed without a proof that the keys are valid.
 		UnprovenKeys UnprovenKeys `yaml:"unproven_keys" validate:"omitempty,oneof=refuse serve"`
-		// Config is how long after a change an older configuration may be
-		// used.
+		// Config is the maximum time for which an old configuration is used after
+		// a change.
 		Config time.Duration `yaml:"config" validate:"gte=100ms,lte=10m"`
 		// Grace is the time from SIGTERM to the end of the process.
 		Grace time.Duration `yaml:"grace" validate:"gte=1s,lte=1h"`
-		// Retries bounds, over all hosts, what is sent to a second server.
+		// Retries limits the requests that all hosts together send to a second
+		// server.
 		Retries Retries `yaml:"retries"`
 	}
 
-	// Retries is a share of a service's requests in any span, and a number
-	// beside.
+	// Retries limits the retries of a service in any period of length Span to Share
+	// times its requests, plus Extra.
 	Retries struct {
 		Share float64       `yaml:"share" validate:"gte=0,lte=1"`
 		Extra float64       `yaml:"extra" validate:"gte=0"`
@@ -71,16 +74,16 @@
 	}
 )
 
-// LoadEntry reads the settings of an entry host from a file and checks them.
+// LoadEntry reads the settings of an entry host from a file and validates them.
 func LoadEntry(path string) (Entry, error) {
-	b, err := read(path, "give a file that can be read")
+	b, err := readFile(path, "give a file that can be read")
 	if err != nil {
 		return Entry{}, err
 	}
 	return ParseEntry(b)
 }
 
-// ParseEntry reads the settings of an entry host from YAML and checks them.
+// ParseEntry reads the settings of an entry host from YAML and validates them.
 func ParseEntry(b []byte) (Entry, error) {
 	var s Entry
 	if err := ParseInto(b, &s); err != nil {
--- a/daemon/settings/follow.go
+++ b/daemon/settings/follow.go
@@ -8,9 +8,9 @@
 	"slipcrank.example/core/pause"
 )
 
-// Follow reads the settings of an entry host again each time their file has
-// changed, and hands them to f. It looks at the file's time and size once a
-// period, until ctx ends.
+// Follow calls f with the settings of an entry host, or the error of LoadEntry, each
+// time that their file has changed, until ctx ends. It compares the file's
+// modification time and size once per period.
 func Follow(ctx context.Context, path string, period time.Duration, f func(Entry, error)) {
 	last := stamp(path)
 	for pause.For(ctx, period) == nil {
@@ -21,18 +21,19 @@
 	}
 }
 
-// fileStamp tells versions of a file apart.
+// fileStamp identifies a version of a file by its metadata.
 type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// stamp returns that of a file, zero if it can't be looked at: then it is read
-// once it is back, and if it can't be read that is told.
+// stamp returns the stamp of a file, zero if its metadata can't be read. A file that
+// disappears or reappears thus counts as changed, and f gets the error or the new
+// settings.
 func stamp(path string) fileStamp {
-	i, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return fileStamp{}
 	}
-	return fileStamp{i.ModTime(), i.Size()}
+	return fileStamp{info.ModTime(), info.Size()}
 }
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads and checks the settings of a daemon.
+// Package settings reads and validates the settings of a daemon.
 //
-// Settings are YAML. Unknown keys are refused, and each value is checked when
-// it is read; the message names the key, the value and the remedy. The
-// defaults stand in [Default] and nowhere else.
+// Settings are YAML. Unknown keys are refused, and all values are validated when the
+// settings are read; the error names the key, the value and the remedy. [Default]
+// has all default values.
 //
 // # Usage
 //
@@ -21,20 +21,20 @@
 )
 
 type (
-	// Settings of one daemon: an immutable value.
+	// Settings has the settings of one daemon. It is an immutable value.
 	Settings struct {
 		// Hall is the data hall in which the daemon runs.
 		Hall string `yaml:"hall" validate:"required,max=63"`
-		// Listen has the addresses that the daemon answers on.
+		// Listen has the addresses on which the daemon listens.
 		Listen Listen `yaml:"listen"`
-		// Advertise has the addresses by which others know the daemon, where
-		// they differ from those that it answers on.
+		// Advertise has the addresses that other daemons use for this one, if they
+		// differ from those in Listen.
 		Advertise Advertise `yaml:"advertise"`
-		// Platform is the IP number and port of the platform's service.
+		// Platform is the IP address and port of the platform's service.
 		Platform string `yaml:"platform" validate:"required,ipport"`
-		// Bootstrap names a few other daemons by IP number and port.
+		// Bootstrap has the IP addresses and ports of a few other daemons.
 		Bootstrap []string `yaml:"bootstrap" validate:"dive,ipport"`
-		// OperatorTokenSHA256 is the hex digest of the operators' token.
+		// OperatorTokenSHA256 is the SHA-256 digest of the operators' token, in hex.
 		OperatorTokenSHA256 string  `yaml:"operator_token_sha256" validate:"required,len=64,hexadecimal"`
 		TLS                 TLS     `yaml:"tls"`
 		Trace               Trace   `yaml:"trace"`
@@ -43,29 +43,28 @@
 		Drain               Drain   `yaml:"drain"`
 	}
 
-	// Listen has the three addresses of a daemon, each an IP number and a
-	// port.
+	// Listen has the listening addresses of a daemon, each an IP address and a port.
 	Listen struct {
 		Callers   string `yaml:"callers" validate:"required,ipport"`
 		Peers     string `yaml:"peers" validate:"required,ipport"`
 		Operators string `yaml:"operators" validate:"required,ipport"`
 	}
 
-	// Advertise has the address, an IP number and a port, by which other
-	// daemons reach and know this one; empty for that in [Listen].
+	// Advertise has the address, an IP address and a port, by which other daemons
+	// reach and identify this one. If it is empty, they use the one in [Listen].
 	Advertise struct {
 		Peers string `yaml:"peers" validate:"omitempty,ipport"`
 	}
 
-	// TLS names the PEM files for the connections between daemons. All three
-	// or none are set.
+	// TLS has the paths of the PEM files for connections between daemons. Either all
+	// three are set or none.
 	TLS struct {
 		CertFile string `yaml:"cert_file" validate:"required_with=KeyFile CAFile"`
 		KeyFile  string `yaml:"key_file" validate:"required_with=CertFile CAFile"`
 		CAFile   string `yaml:"ca_file" validate:"required_with=CertFile KeyFile"`
 	}
 
-	// Trace says where spans go.
+	// Trace configures the export of trace spans.
 	Trace struct {
 		Exporter string  `yaml:"exporter" validate:"oneof=none stdout file otlp"`
 		File     string  `yaml:"file" validate:"required_if=Exporter file"`
@@ -73,7 +72,7 @@
 		Ratio    float64 `yaml:"ratio" validate:"gte=0,lte=1"`
 	}
 
-	// Limits bound what one daemon takes in.
+	// Limits has the limits on what one daemon accepts.
 	Limits struct {
 		BodyBytes   int     `yaml:"body_bytes" validate:"gte=1024,lte=268435456"`
 		Requests    int     `yaml:"requests" validate:"gte=1,lte=1000000"`
@@ -82,7 +81,7 @@
 		MaxAttempts int     `yaml:"max_attempts" validate:"gte=1,lte=10"`
 	}
 
-	// Periods of what a daemon does again and again.
+	// Periods has the periods of the periodic tasks of a daemon.
 	Periods struct {
 		Heartbeat  time.Duration `yaml:"heartbeat" validate:"gte=100ms,lte=10s"`
 		EnginePoll time.Duration `yaml:"engine_poll" validate:"gte=100ms,lte=5s"`
@@ -93,20 +92,20 @@
 		Demand     time.Duration `yaml:"demand" validate:"gte=1s,lte=10m"`
 	}
 
-	// Drain bounds a planned stop.
+	// Drain has the time limits of a planned stop.
 	Drain struct {
-		// Notice is how long the daemon answers "not ready" before it
-		// refuses new requests, so that the balancer can see it.
+		// Notice is how long the daemon reports "not ready" before it refuses new
+		// requests, so that the load balancer notices in time.
 		Notice time.Duration `yaml:"notice" validate:"gte=0s,lte=5m"`
-		// Limit is the longest wait for requests in progress.
+		// Limit is the maximum wait for requests in progress.
 		Limit time.Duration `yaml:"limit" validate:"gte=1s,lte=2h"`
 	}
 
-	// Option changes settings under construction.
+	// Option changes a setting.
 	Option func(*Settings)
 )
 
-// Default returns the settings that hold where the file says nothing.
+// Default returns the default settings. Required settings are empty.
 func Default() Settings {
 	return Settings{
 		Trace: Trace{Exporter: "none", Ratio: 0.01},
@@ -130,16 +129,16 @@
 	}
 }
 
-// Load reads settings from a file and checks them.
+// Load reads settings from a file and validates them.
 func Load(path string) (Settings, error) {
-	b, err := read(path, "give a file that can be read with --settings")
+	b, err := readFile(path, "give a file that can be read with --settings")
 	if err != nil {
 		return Settings{}, err
 	}
 	return Parse(b)
 }
 
-// Parse reads settings from YAML and checks them.
+// Parse reads settings from YAML and validates them.
 func Parse(b []byte) (Settings, error) {
 	s := Default()
 	if err := decode(b, &s); err != nil {
@@ -148,8 +147,8 @@
 	return s, s.Validate()
 }
 
-// read returns what a file holds, or a fault with the remedy.
-func read(path, remedy string) ([]byte, error) {
+// readFile returns the content of a file, or a fault with the given remedy.
+func readFile(path, remedy string) ([]byte, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fault.Newf(fault.BadRequest, remedy, "the settings can't be read: %v", err)
@@ -157,7 +156,7 @@
 	return b, nil
 }
 
-// decode reads YAML into settings of either kind, refusing unknown keys.
+// decode decodes YAML into settings, a pointer to a struct. It refuses unknown keys.
 func decode(b []byte, settings any) error {
 	if err := yaml.NewDecoder(bytes.NewReader(b), yaml.Strict()).Decode(settings); err != nil {
 		return fault.Newf(fault.BadRequest,
@@ -167,19 +166,19 @@
 	return nil
 }
 
-// WithHall returns a copy of s for a hall.
+// WithHall returns a copy of s with the given hall.
 func (s Settings) WithHall(h string) Settings {
 	s.Hall = h
 	return s
 }
 
-// WithListen returns a copy of s that answers on these addresses.
+// WithListen returns a copy of s with the given listening addresses.
 func (s Settings) WithListen(l Listen) Settings {
 	s.Listen = l
 	return s
 }
 
-// WithBootstrap returns a copy of s that knows these daemons.
+// WithBootstrap returns a copy of s with the given bootstrap daemons.
 func (s Settings) WithBootstrap(addrs ...string) Settings {
 	s.Bootstrap = append([]string(nil), addrs...)
 	return s
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -25,20 +25,20 @@
 func TestParse(t *testing.T) {
 	for name, tc := range map[string]struct {
 		old, new string
-		want     []string // in the message; none for good settings
+		want     []string // substrings of the message; none for good settings
 	}{
 		"good":             {"", "", nil},
 		"with durations":   {"hall:", "periods: {heartbeat: 500ms}\ndrain: {limit: 1h}\nhall:", nil},
 		"unknown key":      {"hall:", "hal: x\nhall:", []string{"hal"}},
 		"no hall":          {"hall: oslo-a\n", "", []string{"hall"}},
-		"a name":           {"127.0.0.1:18100", "platform.example:18100", []string{"platform", "platform.example"}},
+		"platform by name": {"127.0.0.1:18100", "platform.example:18100", []string{"platform", "platform.example"}},
 		"no port":          {"127.0.0.1:18080", "127.0.0.1", []string{"listen.callers", "127.0.0.1"}},
 		"short digest":     {"5e884898", "", []string{"operator_token_sha256", "hidden"}},
-		"too quick":        {"hall:", "periods: {heartbeat: 1ms}\nhall:", []string{"periods.heartbeat", "1ms"}},
-		"too large":        {"hall:", "limits: {body_bytes: 999999999}\nhall:", []string{"limits.body_bytes", "999999999"}},
-		"half of TLS":      {"hall:", "tls: {cert_file: a.pem}\nhall:", []string{"tls."}},
+		"period too short": {"hall:", "periods: {heartbeat: 1ms}\nhall:", []string{"periods.heartbeat", "1ms"}},
+		"body too large":   {"hall:", "limits: {body_bytes: 999999999}\nhall:", []string{"limits.body_bytes", "999999999"}},
+		"TLS incomplete":   {"hall:", "tls: {cert_file: a.pem}\nhall:", []string{"tls."}},
 		"unknown exporter": {"hall:", "trace: {exporter: zipkin}\nhall:", []string{"trace.exporter", "zipkin"}},
-		"otlp to nowhere":  {"hall:", "trace: {exporter: otlp}\nhall:", []string{"trace.endpoint"}},
+		"no endpoint":      {"hall:", "trace: {exporter: otlp}\nhall:", []string{"trace.endpoint"}},
 		"bad bootstrap":    {"hall:", "bootstrap: [here]\nhall:", []string{"bootstrap", "here"}},
 		"not YAML":         {"listen:", "listen: [", []string{"can't be read"}},
 	} {
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestEveryKeyIsDocumented compares the keys with docs/OPERATIONS.md.
+// TestEveryKeyIsDocumented checks that docs/OPERATIONS.md lists each key.
 func TestEveryKeyIsDocumented(t *testing.T) {
 	b, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -80,6 +80,8 @@
 	}
 }
 
+// keysOf returns the YAML keys of a struct type and its nested structs, with their
+// paths.
 func keysOf(t reflect.Type, path string) []string {
 	var out []string
 	for i := range t.NumField() {
@@ -128,14 +130,14 @@
 		"unknown key":     {"hall:", "hale:", "hale"},
 		"no host":         {"host: h", "host: \"\"", "host"},
 		"bad address":     {"127.0.0.1:4", "somewhere", "listen.news"},
-		"share over one":  {"share: 0.2", "share: 2", "bounds.retries.share"},
-		"no time at all":  {"grace: 8s", "grace: 0s", "bounds.grace"},
-		"no YAML":         {"host: h", "{", "read"},
+		"share too large": {"share: 0.2", "share: 2", "bounds.retries.share"},
+		"grace too short": {"grace: 8s", "grace: 0s", "bounds.grace"},
+		"not YAML":        {"host: h", "{", "read"},
 		"a list":          {entryText, "- 1", "read"},
-		"no unit of time": {"key_proof: 5000ms", "key_proof: soon", "read"},
+		"not a duration":  {"key_proof: 5000ms", "key_proof: soon", "read"},
 		"keys served":     {"  grace:", "  unproven_keys: serve\n  grace:", ""},
 		"keys refused":    {"  grace:", "  unproven_keys: refuse\n  grace:", ""},
-		"keys guessed":    {"  grace:", "  unproven_keys: maybe\n  grace:", "bounds.unproven_keys"},
+		"unknown choice":  {"  grace:", "  unproven_keys: maybe\n  grace:", "bounds.unproven_keys"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, err := settings.ParseEntry([]byte(strings.Replace(entryText, tc.old, tc.now, 1)))
@@ -156,7 +158,7 @@
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(text string) {
 		t.Helper()
-		// A new file in one step, as the platform lays it.
+		// The platform replaces the file atomically too.
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -167,32 +169,32 @@
 	write(entryText)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	type told struct {
+	type update struct {
 		settings settings.Entry
 		err      error
 	}
-	heard := make(chan told, 1)
+	updates := make(chan update, 1)
 	go settings.Follow(ctx, path, time.Millisecond, func(s settings.Entry, err error) {
 		select {
-		case heard <- told{s, err}:
+		case updates <- update{s, err}:
 		case <-ctx.Done():
 		}
 	})
-	// The first look at the file may come after a change; so change it until
-	// one is told.
-	changed := told{}
-	for n := 0; changed.settings.Host == ""; n++ {
+	// Follow may read the file for the first time after a change, which it then does
+	// not report; so change the file until it reports one.
+	got := update{}
+	for n := 0; got.settings.Host == ""; n++ {
 		write(strings.Replace(entryText, "host: h", "host: h"+strings.Repeat("x", n%20), 1))
 		select {
-		case changed = <-heard:
+		case got = <-updates:
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	if changed.err != nil {
-		t.Errorf("got %v", changed.err)
+	if got.err != nil {
+		t.Errorf("got %v", got.err)
 	}
 	write("host: [")
-	for changed.err == nil {
-		changed = <-heard
+	for got.err == nil {
+		got = <-updates
 	}
 }
--- a/daemon/settings/validate.go
+++ b/daemon/settings/validate.go
@@ -15,6 +15,7 @@
 var (
 	checker = newChecker()
 
+	// remedies has the remedy for each validation tag; %s is the tag's parameter.
 	remedies = map[string]string{
 		"required":      "give a value",
 		"required_with": "set all three keys of tls, or none",
@@ -32,6 +33,7 @@
 	}
 )
 
+// newChecker returns a validator that names fields by their YAML keys.
 func newChecker() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -42,13 +44,14 @@
 		return err == nil
 	})
 	if err != nil {
-		panic(err) // the tag is a constant, so this is a mistake in this file
+		panic(err) // can't happen: the tag and the function are constant
 	}
 	return v
 }
 
-// ParseInto reads YAML into v, which may have validate tags, as settings are
-// read: unknown keys and bad values are faults that name the remedy.
+// ParseInto decodes YAML into v, a pointer to a struct that may have validate tags.
+// It treats unknown keys and bad values as settings do: it returns a fault with a
+// remedy.
 func ParseInto(b []byte, v any) error {
 	if err := decode(b, v); err != nil {
 		return err
@@ -56,8 +59,8 @@
 	return validate(v)
 }
 
-// Validate returns a fault that names the first key with a bad value, the
-// value and the remedy, or nil.
+// Validate returns a fault that names the first key with a bad value, the value and
+// the remedy, or nil if all values are good.
 func (s Settings) Validate() error { return validate(s) }
 
 func validate(s any) error {
@@ -65,11 +68,11 @@
 	if err == nil {
 		return nil
 	}
-	var bad validator.ValidationErrors
-	if !errors.As(err, &bad) || len(bad) == 0 {
+	var invalid validator.ValidationErrors
+	if !errors.As(err, &invalid) || len(invalid) == 0 {
 		return errors.Wrap(err, "check settings")
 	}
-	f := bad[0]
+	f := invalid[0]
 	_, key, _ := strings.Cut(f.Namespace(), ".")
 	remedy, ok := remedies[f.Tag()]
 	if !ok {
