--- a/daemon/operators/fleet.go
+++ b/daemon/operators/fleet.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	askTime = 2 * time.Second
-	// askAtOnce bounds the daemons that are asked at the same time.
-	askAtOnce = 32
+	pingTimeout = 2 * time.Second
+	// maxConcurrentPings is the maximum number of daemons pinged at the same time.
+	maxConcurrentPings = 32
 )
 
 type (
@@ -24,10 +24,11 @@
 		Hall        string `json:"hall"`
 		Status      string `json:"status"`
 		Incarnation uint64 `json:"incarnation"`
-		// Number of the last template change in force there; 0 if the
-		// daemon did not answer.
+		// Number is the number of the last template change in force at the daemon,
+		// 0 if it did not respond.
 		Number uint64 `json:"number"`
-		Lags   bool   `json:"lags"`
+		// Lags is set if Number is lower than that of the daemon that replies.
+		Lags bool `json:"lags"`
 	}
 
 	statusReply struct {
@@ -53,33 +54,36 @@
 	}
 )
 
-// status asks every daemon for the number of its last template change.
+// status returns the number of the last template change of every daemon. It pings the
+// others.
 func (s *Server) status(ctx context.Context, _ *fasthttp.RequestCtx, _ string) (any, error) {
 	v := s.loop.View()
 	r := statusReply{
 		Self: v.Self.Addr, Number: v.Book.Number(), PlatformDown: v.PlatformDown,
-		LeaseHolder: s.lease(), Daemons: make([]daemonStatus, len(v.Members)),
+		LeaseHolder: s.leaseHolder(), Daemons: make([]daemonStatus, len(v.Members)),
 	}
 	var w sync.WaitGroup
-	slots := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentPings)
 	for i, m := range v.Members {
 		w.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			r.Daemons[i] = s.ask(ctx, v, m)
+			r.Daemons[i] = s.statusOf(ctx, v, m)
 		})
 	}
 	w.Wait()
 	return r, nil
 }
 
-func (s *Server) ask(ctx context.Context, v *control.View, m member.Member) daemonStatus {
+// statusOf returns the status of one daemon. It pings the daemon unless that is
+// this one or dead.
+func (s *Server) statusOf(ctx context.Context, v *control.View, m member.Member) daemonStatus {
 	d := daemonStatus{Addr: m.Addr, Hall: m.Hall, Status: m.Status.String(), Incarnation: m.Incarnation}
 	switch {
 	case m.Addr == v.Self.Addr:
 		d.Number = v.Book.Number()
 	case m.Status != member.Dead:
-		ctx, cancel := context.WithTimeout(ctx, askTime)
+		ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 		defer cancel()
 		n, err := s.peers.Ping(ctx, m.Addr, v.Self.Addr, v.Self.Hall, control.News{TemplateNumber: v.Book.Number()})
 		if err == nil {
@@ -110,11 +114,12 @@
 	return r, nil
 }
 
+// explain returns the record of a recent request.
 func (s *Server) explain(_ context.Context, _ *fasthttp.RequestCtx, id string) (any, error) {
-	x, ok := s.ring.Get(id)
+	record, ok := s.records.Get(id)
 	if !ok {
 		return nil, fault.Newf(fault.NotFound, "ask the entry host that served it; each keeps its last 2048 requests",
 			"request %q is not among the last requests of this daemon", id)
 	}
-	return x, nil
+	return record, nil
 }
--- a/daemon/operators/server.go
+++ b/daemon/operators/server.go
@@ -1,12 +1,12 @@
-// Package operators is the interface behind the operators' command line:
-// templates, workspaces, hosts, engines, explanations and metrics. Operators
-// change templates and parameters here, never single requests.
+// Package operators implements the HTTP interface for the operators' command line:
+// templates, workspaces, hosts, engines, explanations of requests, and metrics.
+// Operators change templates and parameters, but not single requests.
 //
-// Every path but /metrics needs the operators' token.
+// All paths but /metrics require the operators' token.
 //
 // # Usage
 //
-//	s := operators.New(loop, changes, ring, metrics, operators.WithToken(digest))
+//	s := operators.New(loop, changes, ring, metrics, operators.WithTokenDigest(digest))
 //	s.Serve(listener)
 package operators
 
@@ -31,28 +31,29 @@
 )
 
 const (
-	requestTime = 10 * time.Second
-	maxBody     = 1 << 20
+	requestTimeout = 10 * time.Second
+	maxBodyBytes   = 1 << 20
 )
 
 type (
-	// Server answers operators.
+	// Server handles the requests of operators.
 	Server struct {
-		loop    *control.Loop
-		changes *changes.Log
-		ring    *dispatch.Ring
-		metrics *telemetry.Metrics
-		peers   *peers.Client
-		digest  string
-		lease   func() string
-		http    *fasthttp.Server
-		routes  map[string]handler
+		loop        *control.Loop
+		changes     *changes.Log
+		records     *dispatch.Ring // of recent requests
+		metrics     *telemetry.Metrics
+		peers       *peers.Client
+		tokenDigest string // SHA-256, in hex
+		leaseHolder func() string
+		http        *fasthttp.Server
+		routes      map[string]handler
 	}
 
-	// Option changes a server under construction.
+	// Option configures a [Server].
 	Option func(*Server)
 
-	// handler answers one path; rest is what follows the path.
+	// handler handles a route and returns the reply, which is encoded as JSON. rest
+	// is the part of the path after the route.
 	handler func(ctx context.Context, c *fasthttp.RequestCtx, rest string) (any, error)
 
 	errorBody struct {
@@ -66,18 +67,18 @@
 	}
 )
 
-// WithTokenDigest sets the hex SHA-256 of the operators' token.
-func WithTokenDigest(d string) Option { return func(s *Server) { s.digest = d } }
+// WithTokenDigest sets the SHA-256 digest of the operators' token, in hex.
+func WithTokenDigest(d string) Option { return func(s *Server) { s.tokenDigest = d } }
 
-// WithPeers sets the client that asks other daemons for their versions.
+// WithPeers sets the client for the status of other daemons.
 func WithPeers(c *peers.Client) Option { return func(s *Server) { s.peers = c } }
 
-// WithLeaseHolder sets the source of the holder of the hall's control lease.
-func WithLeaseHolder(f func() string) Option { return func(s *Server) { s.lease = f } }
+// WithLeaseHolder sets a function that returns the holder of the hall's control lease.
+func WithLeaseHolder(f func() string) Option { return func(s *Server) { s.leaseHolder = f } }
 
 // New returns a server.
 func New(l *control.Loop, g *changes.Log, r *dispatch.Ring, m *telemetry.Metrics, os ...Option) *Server {
-	s := &Server{loop: l, changes: g, ring: r, metrics: m, lease: func() string { return "" }}
+	s := &Server{loop: l, changes: g, records: r, metrics: m, leaseHolder: func() string { return "" }}
 	for _, o := range os {
 		o(s)
 	}
@@ -91,14 +92,14 @@
 		"GET /v1/engines":    s.engines,
 		"GET /v1/explain":    s.explain,
 	}
-	s.http = &fasthttp.Server{Handler: s.handle, MaxRequestBodySize: maxBody, CloseOnShutdown: true, NoDefaultServerHeader: true}
+	s.http = &fasthttp.Server{Handler: s.handle, MaxRequestBodySize: maxBodyBytes, CloseOnShutdown: true, NoDefaultServerHeader: true}
 	return s
 }
 
-// Serve answers on l until [Server.Close].
+// Serve serves requests on l until [Server.Close]. It does not block.
 func (s *Server) Serve(l net.Listener) { go func() { _ = s.http.Serve(l) }() }
 
-// Close stops listening and waits for requests in progress.
+// Close stops the server and waits for requests in progress until ctx ends.
 func (s *Server) Close(ctx context.Context) error { return s.http.ShutdownWithContext(ctx) }
 
 func (s *Server) handle(c *fasthttp.RequestCtx) {
@@ -119,7 +120,7 @@
 		fail(c, fault.Newf(fault.NotFound, "use the slipcrank command line", "there is no path %s", path))
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), requestTime)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	v, err := h(ctx, c, rest)
 	if err != nil {
@@ -129,15 +130,17 @@
 	write(c, v)
 }
 
+// authorized reports whether a request has the operators' token.
 func (s *Server) authorized(c *fasthttp.RequestCtx) bool {
 	token, ok := strings.CutPrefix(string(c.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	d := sha256.Sum256([]byte(token))
-	return ok && subtle.ConstantTimeCompare([]byte(hex.EncodeToString(d[:])), []byte(strings.ToLower(s.digest))) == 1
+	return ok && subtle.ConstantTimeCompare([]byte(hex.EncodeToString(d[:])), []byte(strings.ToLower(s.tokenDigest))) == 1
 }
 
-// split cuts "GET /v1/templates/till" into its route and the rest.
+// split separates the route from the rest: "GET /v1/templates/till" gives
+// "GET /v1/templates" and "till".
 func split(s string) (route, rest string) {
-	const parts = 3 // the method with a slash, the version, the name
+	const parts = 3 // the method, the version, the name
 	p := strings.SplitN(s, "/", parts+1)
 	if len(p) <= parts {
 		return s, ""
@@ -145,11 +148,13 @@
 	return strings.Join(p[:parts], "/"), p[parts]
 }
 
+// fail responds with a fault.
 func fail(c *fasthttp.RequestCtx, f *fault.Error) {
 	c.SetStatusCode(f.Status())
 	write(c, errorBody{Error: errorDetail{Kind: f.Kind(), Message: f.Message(), Remedy: f.Remedy()}})
 }
 
+// write responds with v as JSON.
 func write(c *fasthttp.RequestCtx, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -164,7 +169,7 @@
 	return fault.Newf(fault.UnknownWorkspace, "see slipcrank workspace list", "there is no workspace %q", name)
 }
 
-// decode reads the JSON body of a request.
+// decode decodes the JSON body of a request into v.
 func decode(c *fasthttp.RequestCtx, v any) error {
 	if err := json.Unmarshal(c.PostBody(), v); err != nil {
 		return fault.Newf(fault.BadRequest, "send the JSON that the command line sends", "the body can't be read: %v", err)
--- a/daemon/operators/templates.go
+++ b/daemon/operators/templates.go
@@ -21,7 +21,7 @@
 
 	applyRequest struct {
 		ChangeID string `json:"change_id"`
-		// YAML is the template; its version is the one that it was made on.
+		// YAML is the template. Its version is that of the template it was edited from.
 		YAML string `json:"yaml"`
 	}
 
@@ -43,7 +43,7 @@
 	}
 )
 
-// templates returns all templates, or the one that is named.
+// templates returns the template of the workspace name, or all if name is empty.
 func (s *Server) templates(_ context.Context, _ *fasthttp.RequestCtx, name string) (any, error) {
 	b := s.loop.View().Book
 	if name == "" {
@@ -56,6 +56,7 @@
 	return templatesReply{Number: b.Number(), Templates: []template.Template{t}}, nil
 }
 
+// apply applies a template that the operator has edited.
 func (s *Server) apply(ctx context.Context, c *fasthttp.RequestCtx, _ string) (any, error) {
 	var r applyRequest
 	if err := decode(c, &r); err != nil {
@@ -65,10 +66,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.accept(ctx, r.ChangeID, t, t.Version)
+	return s.applyChange(ctx, r.ChangeID, t, t.Version)
 }
 
-// move changes a workspace's crossover, on the template in force here.
+// move changes the crossover of a workspace, in the template that is in force at this
+// daemon.
 func (s *Server) move(ctx context.Context, c *fasthttp.RequestCtx, _ string) (any, error) {
 	var r moveRequest
 	if err := decode(c, &r); err != nil {
@@ -82,11 +84,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.accept(ctx, r.ChangeID, next, t.Version)
+	return s.applyChange(ctx, r.ChangeID, next, t.Version)
 }
 
-// accept has a change accepted and puts it in force here at once.
-func (s *Server) accept(ctx context.Context, id string, t template.Template, base uint64) (any, error) {
+// applyChange adds a change to the log of changes and puts it in force at this daemon
+// immediately. base is the version that t was edited from. An empty id is replaced by
+// a random one.
+func (s *Server) applyChange(ctx context.Context, id string, t template.Template, base uint64) (any, error) {
 	if id == "" {
 		id = uuid.NewString()
 	}
@@ -102,6 +106,7 @@
 	return changeReply{Number: x.Number, ChangeID: id, Template: x.Template}, nil
 }
 
+// history returns the template changes of the workspace name.
 func (s *Server) history(ctx context.Context, _ *fasthttp.RequestCtx, name string) (any, error) {
 	if _, ok := s.loop.View().Book.Template(name); !ok {
 		return nil, unknownWorkspace(name)
