--- a/daemon/telemetry/metrics.go
+++ b/daemon/telemetry/metrics.go
@@ -1,10 +1,10 @@
-// Package telemetry holds what a daemon tells about itself: metrics in the
-// Prometheus text form, and traces with a span for each hop.
+// Package telemetry provides the metrics of a daemon in the Prometheus text format,
+// and traces with a span for each hop.
 //
 // # Usage
 //
 //	m := telemetry.NewMetrics()
-//	m.Requests("till", "ok").Inc(1)
+//	m.Count("requests_total", 1, "result", "ok")
 //	text := m.Text()
 package telemetry
 
@@ -18,48 +18,50 @@
 )
 
 const (
-	reservoir = 1028
-	decay     = 0.015
-	namespace = "slipcrank_"
+	// reservoirSize and decayAlpha are the parameters of the exponentially decaying
+	// sample behind each histogram.
+	reservoirSize = 1028
+	decayAlpha    = 0.015
+	namespace     = "slipcrank_"
 )
 
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Metrics are a daemon's counters, gauges and histograms. Names may carry
-// labels in the Prometheus form.
+// Metrics has the counters, gauges and histograms of a daemon. The labels of its
+// methods are pairs of name and value.
 type Metrics struct {
 	registry metrics.Registry
 }
 
-// NewMetrics returns metrics with nothing in them.
+// NewMetrics returns Metrics without any metric.
 func NewMetrics() *Metrics { return &Metrics{registry: metrics.NewRegistry()} }
 
-// Count adds n to a counter. Labels are pairs of name and value.
+// Count adds n to a counter.
 func (m *Metrics) Count(name string, n int64, labels ...string) {
-	metrics.GetOrRegisterCounter(full(name, labels), m.registry).Inc(n)
+	metrics.GetOrRegisterCounter(fullName(name, labels), m.registry).Inc(n)
 }
 
 // CounterValue returns the value of a counter.
 func (m *Metrics) CounterValue(name string, labels ...string) int64 {
-	return metrics.GetOrRegisterCounter(full(name, labels), m.registry).Count()
+	return metrics.GetOrRegisterCounter(fullName(name, labels), m.registry).Count()
 }
 
 // Set sets a gauge.
 func (m *Metrics) Set(name string, v int64, labels ...string) {
-	metrics.GetOrRegisterGauge(full(name, labels), m.registry).Update(v)
+	metrics.GetOrRegisterGauge(fullName(name, labels), m.registry).Update(v)
 }
 
 // Time adds a duration to a histogram, in microseconds.
 func (m *Metrics) Time(name string, d time.Duration, labels ...string) {
-	h := metrics.GetOrRegister(full(name+"_microseconds", labels), func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoir, decay))
+	h := metrics.GetOrRegister(fullName(name+"_microseconds", labels), func() metrics.Histogram {
+		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, decayAlpha))
 	})
 	if hist, ok := h.(metrics.Histogram); ok {
 		hist.Update(d.Microseconds())
 	}
 }
 
-// Text returns all metrics in the Prometheus text form, by name.
+// Text returns all metrics in the Prometheus text format, sorted by name.
 func (m *Metrics) Text() string {
 	var lines []string
 	m.registry.Each(func(name string, v any) {
@@ -69,21 +71,22 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
+// render returns the lines of one metric in the Prometheus text format.
 func render(name string, v any) []string {
-	switch x := v.(type) {
+	switch metric := v.(type) {
 	case metrics.Counter:
-		return []string{fmt.Sprintf("%s %d", name, x.Count())}
+		return []string{fmt.Sprintf("%s %d", name, metric.Count())}
 	case metrics.Gauge:
-		return []string{fmt.Sprintf("%s %d", name, x.Value())}
+		return []string{fmt.Sprintf("%s %d", name, metric.Value())}
 	case metrics.Histogram:
-		s := x.Snapshot()
+		s := metric.Snapshot()
 		out := []string{
-			fmt.Sprintf("%s %d", suffixed(name, "_count"), s.Count()),
-			fmt.Sprintf("%s %d", suffixed(name, "_sum"), s.Sum()),
+			fmt.Sprintf("%s %d", withSuffix(name, "_count"), s.Count()),
+			fmt.Sprintf("%s %d", withSuffix(name, "_sum"), s.Sum()),
 		}
 		for i, p := range s.Percentiles(quantiles) {
 			l := fmt.Sprintf("quantile=%q", fmt.Sprint(quantiles[i]))
-			out = append(out, fmt.Sprintf("%s %g", labelled(name, l), p))
+			out = append(out, fmt.Sprintf("%s %g", withLabel(name, l), p))
 		}
 		return out
 	default:
@@ -91,7 +94,8 @@
 	}
 }
 
-func full(name string, labels []string) string {
+// fullName returns the name of a metric with namespace and labels.
+func fullName(name string, labels []string) string {
 	if len(labels) < 2 {
 		return namespace + name
 	}
@@ -102,7 +106,8 @@
 	return namespace + name + "{" + strings.Join(ls, ",") + "}"
 }
 
-func suffixed(name, suffix string) string {
+// withSuffix appends suffix to the name of a metric, before its labels.
+func withSuffix(name, suffix string) string {
 	base, labels, found := strings.Cut(name, "{")
 	if !found {
 		return name + suffix
@@ -110,7 +115,8 @@
 	return base + suffix + "{" + labels
 }
 
-func labelled(name, label string) string {
+// withLabel adds a label to the name of a metric, before its other labels.
+func withLabel(name, label string) string {
 	base, labels, found := strings.Cut(name, "{")
 	if !found {
 		return name + "{" + label + "}"
--- a/daemon/telemetry/trace.go
+++ b/daemon/telemetry/trace.go
@@ -21,11 +21,11 @@
 
 const tracerName = "slipcrank"
 
-// StartTracing sets up the export of spans as the settings say, and returns a
-// function that flushes and ends it. It is called once a process.
+// StartTracing configures the export of spans according to t, and returns a function
+// that flushes and stops it. It must be called only once per process.
 func StartTracing(ctx context.Context, t settings.Trace, hall, addr string) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
-	e, err := exporter(ctx, t)
+	e, err := newExporter(ctx, t)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,8 @@
 	return p.Shutdown, nil
 }
 
-func exporter(ctx context.Context, t settings.Trace) (sdk.SpanExporter, error) {
+// newExporter returns the exporter that t selects, nil for none.
+func newExporter(ctx context.Context, t settings.Trace) (sdk.SpanExporter, error) {
 	switch t.Exporter {
 	case "stdout":
 		return stdouttrace.New()
@@ -67,7 +68,7 @@
 	return otel.Tracer(tracerName).Start(ctx, name, trace.WithAttributes(attributes...))
 }
 
-// End ends a span, with the error if there is one.
+// End ends a span. If err is not nil, it sets the status of the span to it.
 func End(s trace.Span, err error) {
 	if err != nil {
 		s.SetStatus(codes.Error, err.Error())
