--- a/daemon/codec/codec.go
+++ b/daemon/codec/codec.go
@@ -1,5 +1,5 @@
-// Package codec lets gRPC carry messages in CBOR, which need no generated code.
-// Importing it registers the codec.
+// Package codec registers a gRPC codec that encodes messages in CBOR, so that they
+// need no generated code. The codec is registered on import.
 //
 // # Usage
 //
@@ -11,18 +11,18 @@
 	"google.golang.org/grpc/encoding"
 )
 
-// Name is the subtype of the content.
+// Name is the content subtype of the codec.
 const Name = "cbor"
 
 type codec struct{}
 
 func init() { encoding.RegisterCodec(codec{}) }
 
-// Marshal implements encoding.Codec.
+// Marshal implements [encoding.Codec].
 func (codec) Marshal(v any) ([]byte, error) { return cbor.Marshal(v) }
 
-// Unmarshal implements encoding.Codec.
+// Unmarshal implements [encoding.Codec].
 func (codec) Unmarshal(b []byte, v any) error { return cbor.Unmarshal(b, v) }
 
-// Name implements encoding.Codec.
+// Name implements [encoding.Codec].
 func (codec) Name() string { return Name }
