--- a/clients/web/client.go
+++ b/clients/web/client.go
@@ -8,9 +8,9 @@
 //     call that is not repeatable twice.
 //   - A read that receives no data for the stall timeout fails, so that a dead
 //     peer can't block a stream forever.
-//   - With [WithLivenessCheck], a read fails sooner if the peer is dead, and
-//     continues to wait for a peer that is alive, such as an engine that sends
-//     nothing while it processes a long prompt.
+//   - With [WithLivenessCheck], a read fails sooner if the peer is dead, and waits
+//     for the whole stall timeout only if the peer is alive, such as an engine that
+//     sends nothing while it processes a long prompt.
 //
 // # Usage
 //
