--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -120,7 +120,7 @@
 	metrics := telemetry.NewMetrics()
 	n.controlClient, n.trafficClient = web.New(), web.New()
 	engines := engine.New(n.controlClient)
-	n.streamClient = web.New(web.WithAlive(livenessCheckDelay, engines.Answers))
+	n.streamClient = web.New(web.WithLivenessCheck(livenessCheckDelay, engines.Alive))
 	platform := tables.New(n.controlClient, s.Platform)
 	log := changes.New(platform)
 	budgets := limit.NewRetryBudgets(s.Limits.RetryPart)
@@ -157,7 +157,7 @@
 		callers.WithLimits(s.Limits), callers.WithMetrics(metrics), callers.WithOnce(once),
 		callers.WithOldSite(oldsite.New(n.trafficClient)))
 	n.operators = operators.New(n.loop, log, ring, metrics,
-		operators.WithDigest(s.OperatorTokenSHA256), operators.WithPeers(n.peerClient),
+		operators.WithTokenDigest(s.OperatorTokenSHA256), operators.WithPeers(n.peerClient),
 		operators.WithLeaseHolder(n.lease.Holder))
 	return err
 }
--- a/daemon/upkeep/orders.go
+++ b/daemon/upkeep/orders.go
@@ -138,7 +138,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := u.engines.Command(ctx, m.Addr, engine.Order{
-		Fence: term.Fence, Action: engine.Action(m.Action), Model: m.Copy.Model, Version: m.Copy.Version, Life: lease.OrderLifetime,
+		Fence: term.Fence, Action: engine.Action(m.Action), Model: m.Copy.Model, Version: m.Copy.Version, TTL: lease.OrderLifetime,
 	})
 	if err != nil {
 		event.OrderFailed.Error(err, "engine", m.Addr, "action", m.Action, "fence", term.Fence)
