--- a/cmd/soak/caller.go
+++ b/cmd/soak/caller.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	callerHost = "soak.example"
-	// deadline is how long a caller waits; answerSlack is how much later its
-	// end may be seen on a busy machine.
-	deadline    = 2500 * time.Millisecond
-	answerSlack = 2 * time.Second
-	callerPause = 15 * time.Millisecond
+	siteHost = "soak.example"
+	// requestDeadline is the deadline that callers send with each request, as a
+	// time from its sending. Under load, an answer may arrive later by up to
+	// answerSlack.
+	requestDeadline = 2500 * time.Millisecond
+	answerSlack     = 2 * time.Second
+	callerInterval  = 15 * time.Millisecond
 )
 
-var serial atomic.Int64
+var lastAttempt atomic.Int64
 
-// request is one attempt of a caller and what became of it.
+// request is one attempt of a caller, with its result.
 type request struct {
 	attempt, token, key string
 	kind                string
 	host                *host
-	sent                time.Time
-	took                time.Duration
+	sentAt              time.Time
+	duration            time.Duration
 	status              int // 0 for none
 	body                string
 	seal                string
-	cut                 bool
+	incomplete          bool
 }
 
-// call sends requests to hosts, over connections that it keeps, until ctx
+// runCaller sends requests to random hosts over persistent connections until ctx
 // ends.
-func (w *world) call(ctx context.Context, rnd *rand.Rand) {
+func (w *world) runCaller(ctx context.Context, rnd *rand.Rand) {
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 		MaxIdleConnsPerHost: 4,
@@ -52,51 +53,51 @@
 	for ctx.Err() == nil {
 		r := &request{
 			kind: kinds[rnd.IntN(len(kinds))],
-			key:  w.anyKey(rnd),
+			key:  w.randomKey(rnd),
 			host: w.hosts[rnd.IntN(len(w.hosts))],
 		}
-		n := serial.Add(1)
+		n := lastAttempt.Add(1)
 		r.attempt, r.token = fmt.Sprintf("a%d", n), fmt.Sprintf("t%d", n)
 		w.send(t, r)
 		w.checkAnswer(r)
-		time.Sleep(callerPause)
+		time.Sleep(callerInterval)
 	}
 }
 
 func (w *world) send(t *http.Transport, r *request) {
-	ctx, cancel := context.WithTimeout(context.Background(), deadline+2*answerSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), requestDeadline+2*answerSlack)
 	defer cancel()
 	d := platform.Dialect()
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.host.addr()+"/"+r.kind+"/"+r.token, strings.NewReader(r.token))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.host.addr()+"/"+r.kind+"/"+r.token, strings.NewReader(r.token))
 	if err != nil {
-		panic(err) // the address is made in this package
+		panic(err) // the URL is built by this package
 	}
-	// Nothing may be sent a second time by the library.
-	q.GetBody = nil
-	q.Host = callerHost
-	q.Header.Set(d.AttemptID, r.attempt)
-	q.Header.Set(d.Deadline, fmt.Sprint(deadline.Milliseconds()))
-	q.Header.Set("Authorization", d.KeyScheme+r.key)
-	r.sent = time.Now()
-	defer func() { r.took = time.Since(r.sent) }()
-	a, err := t.RoundTrip(q)
+	// Without GetBody, the HTTP client can't send the request a second time.
+	httpReq.GetBody = nil
+	httpReq.Host = siteHost
+	httpReq.Header.Set(d.AttemptID, r.attempt)
+	httpReq.Header.Set(d.Deadline, fmt.Sprint(requestDeadline.Milliseconds()))
+	httpReq.Header.Set("Authorization", d.KeyScheme+r.key)
+	r.sentAt = time.Now()
+	defer func() { r.duration = time.Since(r.sentAt) }()
+	resp, err := t.RoundTrip(httpReq)
 	if err != nil {
-		r.cut = true
+		r.incomplete = true
 		return
 	}
-	defer a.Body.Close()
-	b, err := io.ReadAll(a.Body)
-	r.status, r.body, r.seal, r.cut = a.StatusCode, string(b), a.Header.Get(standin.SealHeader), err != nil
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	r.status, r.body, r.seal, r.incomplete = resp.StatusCode, string(body), resp.Header.Get(standin.SealHeader), err != nil
 }
 
-// checkAnswer checks what one caller saw, and keeps the request for what can
-// only be checked at the end.
+// checkAnswer checks the answer to one request, and stores the request for the
+// checks at the end of the run.
 func (w *world) checkAnswer(r *request) {
 	w.mu.Lock()
 	w.requests = append(w.requests, r)
 	w.mu.Unlock()
-	if ok, since := r.host.running(); ok && since > r.took && r.took > deadline+answerSlack {
-		w.fail("request %s at %s had no final answer after %v", r.attempt, r.host.name, r.took)
+	if ok, since := r.host.running(); ok && since > r.duration && r.duration > requestDeadline+answerSlack {
+		w.failf("request %s at %s had no final answer after %v", r.attempt, r.host.name, r.duration)
 	}
 	if r.status != http.StatusOK {
 		return
@@ -110,10 +111,10 @@
 	}
 	switch {
 	case r.seal == "":
-		w.fail("request %s: a success without a server's mark", r.attempt)
-	case !r.cut && r.body != want:
-		w.fail("request %s: complete answer %q, want %q", r.attempt, r.body, want)
-	case r.cut && !strings.HasPrefix(want, r.body):
-		w.fail("request %s: cut answer %q is no part of its own", r.attempt, r.body)
+		w.failf("request %s: status 200 without the header that backend servers add", r.attempt)
+	case !r.incomplete && r.body != want:
+		w.failf("request %s: complete answer %q, want %q", r.attempt, r.body, want)
+	case r.incomplete && !strings.HasPrefix(want, r.body):
+		w.failf("request %s: truncated answer %q is not a prefix of the expected one", r.attempt, r.body)
 	}
 }
--- a/cmd/soak/deadly_test.go
+++ b/cmd/soak/deadly_test.go
@@ -24,11 +24,11 @@
 
 const (
 	deadlyHosts, deadlyServers = 9, 12
-	// deadlyPlay is for how long a deadly request comes again, deadlyPause between
-	// two tries of one caller.
-	deadlyPlay, deadlyPause = 8 * time.Second, 100 * time.Millisecond
-	// mostEnded is how many servers one request may end in all.
-	mostEnded = 4
+	// deadlyTime is the time for which callers repeat the deadly request,
+	// deadlyInterval the time between two attempts of one caller.
+	deadlyTime, deadlyInterval = 8 * time.Second, 100 * time.Millisecond
+	// maxEnded is the maximum number of servers that one request may end.
+	maxEnded = 4
 )
 
 // buildDaemon builds the daemon and returns its path.
@@ -41,17 +41,17 @@
 	return binary
 }
 
-// ask sends a request to a host and reports whether it was answered well.
-func ask(h *host, path, attempt, body string) bool {
+// send sends a request to a host and reports whether the status was 200.
+func send(h *host, path, attempt, body string) bool {
 	r, err := http.NewRequest(http.MethodPost, "http://"+h.addr()+path, strings.NewReader(body))
 	if err != nil {
 		return false
 	}
-	r.Host = callerHost
+	r.Host = siteHost
 	d := platform.Dialect()
 	r.Header.Set("Authorization", d.KeyScheme+"key-0")
 	r.Header.Set(d.AttemptID, attempt)
-	r.Header.Set(d.Deadline, fmt.Sprint(deadline.Milliseconds()))
+	r.Header.Set(d.Deadline, fmt.Sprint(requestDeadline.Milliseconds()))
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return false
@@ -60,28 +60,28 @@
 	return a.StatusCode == http.StatusOK
 }
 
-// TestFewServersEndAcrossProcesses has three callers send a request that ends each
-// server which begins to run it to nine hosts in three halls, which are processes of
-// their own and know each other.
-func TestFewServersEndAcrossProcesses(t *testing.T) {
-	playDeadly(t, "127.1.77.", func(hosts []*host) {
-		await(t, hosts, "know the others", func(h *host) bool { return knows(h, deadlyHosts-1) })
+// TestDeadlyRequestEndsFewServers has three callers repeat a request that ends
+// each server which starts to run it. They send it to nine hosts in three halls,
+// which run as separate processes and know each other.
+func TestDeadlyRequestEndsFewServers(t *testing.T) {
+	runDeadlyRequests(t, "127.1.77.", func(hosts []*host) {
+		waitForHosts(t, hosts, "know the other hosts", func(h *host) bool { return knowsHosts(h, deadlyHosts-1) })
 	})
 }
 
-// TestFewServersEndAsHostsStart: a request ended all twelve servers in half a second,
-// and each host took it for new. All hosts had started a second before. What a host
-// reads of the others as they start it reads a second apart, and until then nobody
-// tells it under which request servers ended, nor does it tell others. The evidence:
-// the log of who knows how many others; hosts that know each other lose three or four
+// TestDeadlyRequestEndsFewServersRightAfterStart guards against a deadly request
+// that ends all twelve servers within half a second, one second after the start of
+// all hosts. A starting host reads the list of other hosts once per second. Before
+// it knows them, it neither sends nor receives records of suspects, so each host
+// takes the request for a new one. Hosts that know each other lose three or four
 // servers to the same callers.
-func TestFewServersEndAsHostsStart(t *testing.T) {
-	playDeadly(t, "127.1.78.", func([]*host) {})
+func TestDeadlyRequestEndsFewServersRightAfterStart(t *testing.T) {
+	runDeadlyRequests(t, "127.1.78.", func([]*host) {})
 }
 
-// playDeadly starts hosts, calls ready with them once each serves, and plays callers
-// of a deadly request beside others.
-func playDeadly(t *testing.T, base string, ready func(hosts []*host)) {
+// runDeadlyRequests starts hosts, calls ready with them once each serves, and then
+// runs callers of a deadly request concurrently with callers of other requests.
+func runDeadlyRequests(t *testing.T, base string, ready func(hosts []*host)) {
 	t.Helper()
 	store := standin.NewStore()
 	l, err := net.Listen("tcp", base+"250:7000")
@@ -89,11 +89,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	go func() { _ = http.Serve(l, store) }() // ends with the listener
+	go func() { _ = http.Serve(l, store) }() // returns once the listener is closed
 	var servers []*standin.Process
 	for n := range deadlyServers {
 		p, err := standin.StartProcess(store, backend.Server{
-			ID: fmt.Sprintf("i-%d", n), Service: service, Addr: "127.0.0.1:0", Hall: fmt.Sprintf("hall-%d", n%halls), Slots: 8,
+			ID: fmt.Sprintf("i-%d", n), Service: service, Addr: "127.0.0.1:0", Hall: fmt.Sprintf("hall-%d", n%hallCount), Slots: 8,
 		}, n%2 == 0, time.Second, 500*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
@@ -102,52 +102,52 @@
 		servers = append(servers, p)
 	}
 	store.PutConfig(1, []site.Route{{
-		Name: "safe", Host: callerHost, Prefix: "/safe/", Attempts: 2, Timeout: 5 * time.Second, Objective: time.Second,
+		Name: "safe", Host: siteHost, Prefix: "/safe/", Attempts: 2, Timeout: 5 * time.Second, Objective: time.Second,
 		Targets: []site.Target{{Service: service, Weight: 1}},
 	}}, []string{service}, map[string]string{"key-0": "workspace-0"})
-	hosts := deadlyFleet(t, base)
-	await(t, hosts, "serve", func(h *host) bool { return ask(h, "/safe/probe", "probe", "harmless") })
+	hosts := startDeadlyHosts(t, base)
+	waitForHosts(t, hosts, "serve", func(h *host) bool { return send(h, "/safe/probe", "probe", "harmless") })
 	ready(hosts)
-	ctx, cancel := context.WithTimeout(context.Background(), deadlyPlay)
+	ctx, cancel := context.WithTimeout(context.Background(), deadlyTime)
 	defer cancel()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range 3 {
-		all.Go(func() {
-			for i := 0; pause.For(ctx, deadlyPause) == nil; i++ {
-				ask(hosts[(n+i)%len(hosts)], "/safe/bad", fmt.Sprintf("deadly-%d-%d", n, i), "one "+standin.Deadly)
+		wg.Go(func() {
+			for i := 0; pause.For(ctx, deadlyInterval) == nil; i++ {
+				send(hosts[(n+i)%len(hosts)], "/safe/bad", fmt.Sprintf("deadly-%d-%d", n, i), "one "+standin.Deadly)
 			}
 		})
 	}
-	var asked, answered atomic.Int64
+	var sent, answered atomic.Int64
 	for n := range 6 {
-		all.Go(func() {
-			for i := 0; pause.For(ctx, deadlyPause/3) == nil; i++ {
-				asked.Add(1)
+		wg.Go(func() {
+			for i := 0; pause.For(ctx, deadlyInterval/3) == nil; i++ {
+				sent.Add(1)
 				id := fmt.Sprintf("other-%d-%d", n, i)
-				if ask(hosts[(n+i)%len(hosts)], "/safe/"+id, id, "harmless") {
+				if send(hosts[(n+i)%len(hosts)], "/safe/"+id, id, "harmless") {
 					answered.Add(1)
 				}
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	ended := 0
 	for _, p := range servers {
 		ended += len(p.Ends())
 	}
-	t.Logf("%d servers ended; %d of %d other requests were answered", ended, answered.Load(), asked.Load())
-	if ended < 1 || ended > mostEnded {
-		t.Errorf("%d servers ended under one request, want 1 to %d", ended, mostEnded)
+	t.Logf("%d servers ended; %d of %d other requests were answered", ended, answered.Load(), sent.Load())
+	if ended < 1 || ended > maxEnded {
+		t.Errorf("one request ended %d servers, want 1 to %d", ended, maxEnded)
 	}
 }
 
-// deadlyFleet starts hosts in three halls.
-func deadlyFleet(t *testing.T, base string) []*host {
+// startDeadlyHosts starts deadlyHosts hosts, spread over all halls.
+func startDeadlyHosts(t *testing.T, base string) []*host {
 	t.Helper()
 	dir, binary := t.TempDir(), buildDaemon(t)
 	var hosts []*host
 	for n := range deadlyHosts {
-		h, err := newHost(dir, binary, fmt.Sprintf("host-%d", n), fmt.Sprintf("hall-%d", n%halls), fmt.Sprintf("%s%d", base, n+1))
+		h, err := newHost(dir, binary, fmt.Sprintf("host-%d", n), fmt.Sprintf("hall-%d", n%hallCount), fmt.Sprintf("%s%d", base, n+1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,22 +163,23 @@
 	return hosts
 }
 
-// await waits until something holds of each host.
-func await(t *testing.T, hosts []*host, what string, holds func(h *host) bool) {
+// waitForHosts waits until ok is true of each host. condition describes it.
+func waitForHosts(t *testing.T, hosts []*host, condition string, ok func(h *host) bool) {
 	t.Helper()
-	end := time.Now().Add(startTime)
+	deadline := time.Now().Add(startTimeout)
 	for _, h := range hosts {
-		for !holds(h) {
-			if time.Now().After(end) {
-				t.Fatalf("%s doesn't %s within %v", h.name, what, startTime)
+		for !ok(h) {
+			if time.Now().After(deadline) {
+				t.Fatalf("%s does not %s within %v", h.name, condition, startTimeout)
 			}
-			_ = pause.For(context.Background(), callerPause) // never ends early
+			_ = pause.For(context.Background(), callerInterval) // the context never ends
 		}
 	}
 }
 
-// knows reports whether a host knows so many others, by its metrics.
-func knows(h *host, others int) bool {
+// knowsHosts reports whether, by its metrics, a host knows the given number of
+// other hosts.
+func knowsHosts(h *host, others int) bool {
 	a, err := http.Get(fmt.Sprintf("http://%s:%d/", h.ip, metricsPort))
 	if err != nil {
 		return false
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -11,68 +11,68 @@
 	"slipcrank.example/platform/standin"
 )
 
-// strike draws faults until ctx ends. Each runs beside the others.
-func (w *world) strike(ctx context.Context) {
+// injectFaults draws and injects faults until ctx ends. Faults may overlap.
+func (w *world) injectFaults(ctx context.Context) {
 	faults := []func(context.Context, time.Duration){
 		w.killHost, w.pauseHost, w.stopHost, w.reloadHost,
-		w.harmStorePath, w.harmStore, w.harmServerPath, w.harmAnswers,
-		w.replaceServer, w.changeKeys, w.resetConnections, w.silenceConnections,
+		w.disturbStorePath, w.injectStoreFaults, w.disturbServerPath, w.injectAnswerFaults,
+		w.replaceServer, w.rotateKeys, w.resetConnections, w.blackholeConnections,
 	}
-	for pause.UpTo(ctx, 2*faultPause) == nil {
-		f := faults[w.rnd.IntN(len(faults))]
-		d := time.Duration(w.rnd.Int64N(int64(faultTime)))
-		f(ctx, d)
+	for pause.UpTo(ctx, 2*meanFaultInterval) == nil {
+		inject := faults[w.rnd.IntN(len(faults))]
+		duration := time.Duration(w.rnd.Int64N(int64(maxFaultTime)))
+		inject(ctx, duration)
 	}
 }
 
-// later runs f after d, or when ctx ends.
-func later(ctx context.Context, d time.Duration, f func()) {
+// runAfter runs f after d, or when ctx ends.
+func runAfter(ctx context.Context, d time.Duration, f func()) {
 	go func() {
-		_ = pause.For(ctx, d) // f undoes a fault in any case
+		_ = pause.For(ctx, d) // f reverts a fault, so it must also run when ctx ends
 		f()
 	}()
 }
 
-func (w *world) anyHost() *host { return w.hosts[w.rnd.IntN(len(w.hosts))] }
-func (w *world) anySlot() *slot { return w.slots[w.rnd.IntN(len(w.slots))] }
+func (w *world) randomHost() *host       { return w.hosts[w.rnd.IntN(len(w.hosts))] }
+func (w *world) randomSlot() *serverSlot { return w.slots[w.rnd.IntN(len(w.slots))] }
 
-func (w *world) restart(h *host) {
+func (w *world) restartHost(h *host) {
 	if err := h.start(); err != nil {
-		w.fail("%s does not start: %v", h.name, err)
+		w.failf("start %s: %v", h.name, err)
 	}
 }
 
 func (w *world) killHost(ctx context.Context, d time.Duration) {
-	h := w.anyHost()
+	h := w.randomHost()
 	h.signal(syscall.SIGKILL)
-	later(ctx, d, func() { w.restart(h) })
+	runAfter(ctx, d, func() { w.restartHost(h) })
 }
 
 func (w *world) pauseHost(ctx context.Context, d time.Duration) {
-	h := w.anyHost()
+	h := w.randomHost()
 	h.signal(syscall.SIGSTOP)
-	// Long enough, at times, for keys to lose their proof meanwhile.
-	later(ctx, 2*d, func() { h.signal(syscall.SIGCONT) })
+	// Doubled, so that some pauses exceed keyProof and cached keys expire.
+	runAfter(ctx, 2*d, func() { h.signal(syscall.SIGCONT) })
 }
 
 func (w *world) stopHost(ctx context.Context, d time.Duration) {
-	h := w.anyHost()
+	h := w.randomHost()
 	h.signal(syscall.SIGTERM)
-	later(ctx, grace+d, func() {
+	runAfter(ctx, shutdownGrace+d, func() {
 		h.signal(syscall.SIGKILL)
-		w.restart(h)
+		w.restartHost(h)
 	})
 }
 
-func (w *world) reloadHost(context.Context, time.Duration) { w.anyHost().signal(syscall.SIGHUP) }
+func (w *world) reloadHost(context.Context, time.Duration) { w.randomHost().signal(syscall.SIGHUP) }
 
-func (w *world) harmStorePath(ctx context.Context, d time.Duration) {
-	p := w.anyHost().store
-	p.set([]mode{delay, silent, oneWay}[w.rnd.IntN(3)])
-	later(ctx, 2*d, func() { p.set(pass) })
+func (w *world) disturbStorePath(ctx context.Context, d time.Duration) {
+	p := w.randomHost().store
+	p.setMode([]mode{delayed, blocked, noReplies}[w.rnd.IntN(3)])
+	runAfter(ctx, 2*d, func() { p.setMode(forward) })
 }
 
-func (w *world) harmStore(ctx context.Context, d time.Duration) {
+func (w *world) injectStoreFaults(ctx context.Context, d time.Duration) {
 	f := []standin.Fault{standin.Refused, standin.Lost, standin.Slow}[w.rnd.IntN(3)]
 	r := rand.New(rand.NewPCG(w.rnd.Uint64(), 0))
 	w.store.SetFault(func() standin.Fault {
@@ -81,132 +81,135 @@
 		}
 		return f
 	})
-	w.storeHarmed(true)
-	later(ctx, d, func() {
+	w.setStoreDisturbed(true)
+	runAfter(ctx, d, func() {
 		w.store.SetFault(func() standin.Fault { return standin.Served })
-		w.storeHarmed(false)
+		w.setStoreDisturbed(false)
 	})
 }
 
-func (w *world) storeHarmed(on bool) {
+func (w *world) setStoreDisturbed(active bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.harms.set(on)
+	w.disturbances.setActive(active)
 }
 
-func (w *world) harmServerPath(ctx context.Context, d time.Duration) {
-	p := w.anySlot().proxy
-	p.set([]mode{delay, silent, oneWay}[w.rnd.IntN(3)])
-	later(ctx, d, func() { p.set(pass) })
+func (w *world) disturbServerPath(ctx context.Context, d time.Duration) {
+	p := w.randomSlot().proxy
+	p.setMode([]mode{delayed, blocked, noReplies}[w.rnd.IntN(3)])
+	runAfter(ctx, d, func() { p.setMode(forward) })
 }
 
 func (w *world) resetConnections(context.Context, time.Duration) {
 	if w.rnd.IntN(2) == 0 {
-		w.anyHost().store.reset()
+		w.randomHost().store.reset()
 		return
 	}
-	w.anySlot().proxy.reset()
+	w.randomSlot().proxy.reset()
 }
 
-// silenceConnections has the open connections of a way fall silent for good.
-func (w *world) silenceConnections(context.Context, time.Duration) {
+// blackholeConnections permanently blocks the open connections of a random proxy.
+func (w *world) blackholeConnections(context.Context, time.Duration) {
 	if w.rnd.IntN(2) == 0 {
-		w.anyHost().store.deaden()
+		w.randomHost().store.blackhole()
 		return
 	}
-	w.anySlot().proxy.deaden()
+	w.randomSlot().proxy.blackhole()
 }
 
-// harmAnswers lets a server lose or break off some of its answers.
-func (w *world) harmAnswers(ctx context.Context, d time.Duration) {
-	at := w.anySlot()
-	at.mu.Lock()
-	s := at.server
-	at.mu.Unlock()
+// injectAnswerFaults makes a server lose or truncate some of its answers.
+func (w *world) injectAnswerFaults(ctx context.Context, d time.Duration) {
+	s := w.randomSlot()
+	s.mu.Lock()
+	server := s.server
+	s.mu.Unlock()
 	r := rand.New(rand.NewPCG(w.rnd.Uint64(), 0))
-	some := func() bool { return r.Float64() < faultPart }
+	sometimes := func() bool { return r.Float64() < answerFaultRate }
 	never := func() bool { return false }
-	s.SetFaults(some, some)
-	later(ctx, d, func() { s.SetFaults(never, never) })
+	server.SetFaults(sometimes, sometimes)
+	runAfter(ctx, d, func() { server.SetFaults(never, never) })
 }
 
-// replaceServer ends a server, with or without a word, and starts another at
-// its address.
+// replaceServer stops a server and starts another one at its address. The old
+// server leaves first, by its entry or by the removal of its entry, or stops
+// without notice.
 func (w *world) replaceServer(ctx context.Context, d time.Duration) {
-	s := w.anySlot()
+	s := w.randomSlot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.http == nil {
-		return // it is being replaced
+	if s.httpServer == nil {
+		return // the server is being replaced
 	}
-	id := s.id
-	leave := time.Duration(0)
+	id := s.serverID
+	delay := time.Duration(0)
 	switch w.rnd.IntN(3) {
 	case 0:
-		w.announce(s, true)
-		leave = configDue + 2*d // at times it serves on for long
-	case 1: // its entry goes, and it serves on
+		w.putServerEntry(s, true)
+		delay = configBound + 2*d // at times it keeps serving long after the bound
+	case 1: // its entry is removed while it still serves
 		w.store.RemoveServer(id)
-		leave = configDue + 2*d
+		delay = configBound + 2*d
 	}
-	if leave > 0 {
-		w.left(id)
+	if delay > 0 {
+		w.recordLeaving(id)
 	}
-	w.replace(ctx, s, leave, d)
+	w.scheduleReplacement(ctx, s, delay, d)
 }
 
-// replace ends the server of a slot after a time, and starts another one some time
-// after that. The slot is locked.
-func (w *world) replace(ctx context.Context, s *slot, leave, d time.Duration) {
-	old, id, ended := s.http, s.id, s.ended
-	s.http = nil
+// scheduleReplacement stops the server of a slot after delay, and starts another
+// one gap later. Both happen at once when ctx ends. The caller holds s.mu.
+func (w *world) scheduleReplacement(ctx context.Context, s *serverSlot, delay, gap time.Duration) {
+	old, id, closed := s.httpServer, s.serverID, s.closed
+	s.httpServer = nil
 	go func() {
-		_ = pause.For(ctx, leave) // it ends in any case
-		_ = old.Close()           // its listener is what counts
-		<-ended
+		_ = pause.For(ctx, delay) // when ctx ends, the server stops at once
+		_ = old.Close()           // errors of connections don't matter, closed shows that the listener is gone
+		<-closed
 		w.store.RemoveServer(id)
-		_ = pause.For(ctx, d) // the next begins in any case
-		if err := w.begin(s); err != nil {
-			w.fail("no server at slot %d: %v", s.number, err)
+		_ = pause.For(ctx, gap) // when ctx ends, the next server starts at once
+		if err := w.startServer(s); err != nil {
+			w.failf("start a server in slot %d: %v", s.number, err)
 		}
 	}()
 }
 
-// left notes that the platform has acknowledged a server's leaving.
-func (w *world) left(id string) {
+// recordLeaving records that the platform has just acknowledged that a server
+// leaves.
+func (w *world) recordLeaving(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leaving[id] = time.Now()
+	w.leavingSince[id] = time.Now()
 }
 
-// changeKeys takes a key away and gives another.
-func (w *world) changeKeys(context.Context, time.Duration) {
+// rotateKeys revokes the valid key and adds another one.
+func (w *world) rotateKeys(context.Context, time.Duration) {
 	w.mu.Lock()
-	n := len(w.revoked) + 1
-	for k := range w.keys {
-		delete(w.keys, k)
-		w.revoked[k] = time.Now().Add(time.Hour) // until it is acknowledged
+	n := len(w.revokedAt) + 1
+	for k := range w.validKeys {
+		delete(w.validKeys, k)
+		w.revokedAt[k] = time.Now().Add(time.Hour) // in the future until the platform has acknowledged the change
 	}
-	w.keys[fmt.Sprintf("key-%d", n)] = fmt.Sprintf("workspace-%d", n)
-	w.configure()
+	w.validKeys[fmt.Sprintf("key-%d", n)] = fmt.Sprintf("workspace-%d", n)
+	w.putConfig()
 	now := time.Now()
-	for k, at := range w.revoked {
-		if at.After(now) {
-			w.revoked[k] = now
+	for k, revoked := range w.revokedAt {
+		if revoked.After(now) {
+			w.revokedAt[k] = now
 		}
 	}
 	w.mu.Unlock()
 }
 
-// calm ends all faults.
-func (w *world) calm() {
+// endFaults ends all faults: it restores the platform and the proxies, and
+// resumes or restarts all daemons.
+func (w *world) endFaults() {
 	w.store.SetFault(func() standin.Fault { return standin.Served })
 	for _, h := range w.hosts {
-		h.store.set(pass)
+		h.store.setMode(forward)
 		h.signal(syscall.SIGCONT)
-		w.restart(h)
+		w.restartHost(h)
 	}
 	for _, s := range w.slots {
-		s.proxy.set(pass)
+		s.proxy.setMode(forward)
 	}
 }
--- a/cmd/soak/host.go
+++ b/cmd/soak/host.go
@@ -12,7 +12,7 @@
 	"slipcrank.example/platform"
 )
 
-// Ports of every host; each has an IP number of its own.
+// Ports of every host. Each host has its own loopback IP address.
 const (
 	callersPort = 7100
 	readyPort   = 7101
@@ -21,7 +21,7 @@
 	storePort   = 7104
 )
 
-const settingsText = `host: %s
+const settingsTemplate = `host: %s
 hall: %s
 listen: {callers: "%s:%d", readiness: "%s:%d", metrics: "%s:%d", news: "%s:%d"}
 platform: "%s:%d"
@@ -32,36 +32,36 @@
   retries: {share: 0.2, extra: 100, span: 10s}
 `
 
-// Bounds that the hosts are given.
+// Bounds in the settings of the hosts.
 const (
-	keyProof  = 3 * time.Second
-	configDue = 2 * time.Second
-	grace     = 4 * time.Second
+	keyProof      = 3 * time.Second
+	configBound   = 2 * time.Second
+	shutdownGrace = 4 * time.Second
 )
 
-// host is one daemon, as a process.
+// host is an entry host, with its daemon running as a process.
 type host struct {
 	name, ip string
 	binary   string
 	settings string
 	log      *os.File
-	store    *proxy // its way to the platform
+	store    *proxy // proxy in front of the platform
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	killed bool          // the process has been told to end at once
-	ended  chan struct{} // closed when it has ended
-	paused bool
-	struck time.Time // when something was last done to it
-	harms  harms     // while it doesn't run, or was just told to stop
-	gaps   harms     // while it doesn't run
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	killed        bool          // SIGKILL was sent to the process
+	exited        chan struct{} // closed when the process has exited
+	paused        bool
+	lastDisturbed time.Time    // when the process was last signalled, was started, or exited
+	disturbances  disturbances // periods in which it was not running, and signals
+	outages       disturbances // periods in which it was not running, and starts
 }
 
-// newHost writes the settings of a host.
+// newHost writes the settings of a host and creates its log file.
 func newHost(dir, binary, name, hall, ip string) (*host, error) {
 	h := &host{name: name, ip: ip, binary: binary, settings: filepath.Join(dir, name+".yaml")}
-	text := fmt.Sprintf(settingsText, name, hall, ip, callersPort, ip, readyPort, ip, metricsPort, ip, newsPort,
-		ip, storePort, keyProof, configDue, grace)
+	text := fmt.Sprintf(settingsTemplate, name, hall, ip, callersPort, ip, readyPort, ip, metricsPort, ip, newsPort,
+		ip, storePort, keyProof, configBound, shutdownGrace)
 	if err := os.WriteFile(h.settings, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -72,13 +72,14 @@
 
 func (h *host) addr() string { return fmt.Sprintf("%s:%d", h.ip, callersPort) }
 
-// start runs the daemon, if it doesn't run. It waits for the end of one that was killed.
+// start starts the daemon unless it is running. It first waits for the exit of a
+// process that was killed.
 func (h *host) start() error {
 	h.mu.Lock()
-	killed, ended := h.killed, h.ended
+	killed, exited := h.killed, h.exited
 	h.mu.Unlock()
 	if killed {
-		<-ended
+		<-exited
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,76 +89,77 @@
 	c := exec.Command(h.binary, "entry")
 	c.Env = append(os.Environ(), platform.SettingsVariable+"="+h.settings)
 	c.Stdout, c.Stderr = h.log, h.log
-	// A soak that is killed leaves no daemon behind.
+	// The kernel kills the daemon if this process is killed.
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		return err
 	}
-	ended = make(chan struct{})
-	h.cmd, h.killed, h.ended, h.struck = c, false, ended, time.Now()
-	h.harms.set(false)
-	h.harms.note()
-	h.gaps.set(false)
-	h.gaps.note()
+	exited = make(chan struct{})
+	h.cmd, h.killed, h.exited, h.lastDisturbed = c, false, exited, time.Now()
+	h.disturbances.setActive(false)
+	h.disturbances.addInstant()
+	h.outages.setActive(false)
+	h.outages.addInstant()
 	go func() {
-		_ = c.Wait() // how it ended is in its log
-		defer close(ended)
+		_ = c.Wait() // the log has the reason of the exit
+		defer close(exited)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.cmd == c {
-			h.cmd, h.paused, h.struck = nil, false, time.Now()
-			h.harms.set(true)
-			h.gaps.set(true)
+			h.cmd, h.paused, h.lastDisturbed = nil, false, time.Now()
+			h.disturbances.setActive(true)
+			h.outages.setActive(true)
 		}
 	}()
 	return nil
 }
 
-// signal sends a signal to the process that this host started.
+// signal sends a signal to the host's daemon, if it is running, and records the
+// disturbance.
 func (h *host) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.struck = time.Now()
+	h.lastDisturbed = time.Now()
 	if h.cmd == nil {
 		return
 	}
 	switch s {
 	case syscall.SIGSTOP:
 		h.paused = true
-		h.harms.set(true)
-		h.gaps.set(true)
+		h.disturbances.setActive(true)
+		h.outages.setActive(true)
 	case syscall.SIGCONT:
 		h.paused = false
-		h.harms.set(false)
-		h.gaps.set(false)
+		h.disturbances.setActive(false)
+		h.outages.setActive(false)
 	default:
-		h.harms.note()
+		h.disturbances.addInstant()
 	}
 	h.killed = h.killed || s == syscall.SIGKILL
-	_ = h.cmd.Process.Signal(s) // it may have ended just now
+	_ = h.cmd.Process.Signal(s) // fails if the process has just exited
 }
 
-// running reports whether the process is there and not paused, and for how
-// long nothing was done to it.
+// running reports whether the process is running and not paused, and the time
+// since it was last disturbed.
 func (h *host) running() (bool, time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cmd != nil && !h.paused, time.Since(h.struck)
+	return h.cmd != nil && !h.paused, time.Since(h.lastDisturbed)
 }
 
-// stoodStill reports whether the process was paused, or ended or started, at any time of
-// a span.
-func (h *host) stoodStill(from, to time.Time) bool {
+// hadOutage reports whether the process was paused, not running, or started at any
+// time in [from, to].
+func (h *host) hadOutage(from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gaps.within(from, to)
+	return h.outages.overlap(from, to)
 }
 
-// harmed reports whether something was done to the host, or to its way to the
-// platform, at any time of a span.
-func (h *host) harmed(from, to time.Time) bool {
+// disturbedDuring reports whether the host or its proxy to the platform was
+// disturbed at any time in [from, to].
+func (h *host) disturbedDuring(from, to time.Time) bool {
 	h.mu.Lock()
-	own := h.harms.within(from, to)
+	disturbed := h.disturbances.overlap(from, to)
 	h.mu.Unlock()
-	return own || h.store.harmed(from, to)
+	return disturbed || h.store.disturbedDuring(from, to)
 }
--- a/cmd/soak/host_test.go
+++ b/cmd/soak/host_test.go
@@ -9,16 +9,17 @@
 	"slipcrank.example/platform/standin"
 )
 
-// TestHostIsBackAfterAKill: a host that was killed and started at once stayed down, since
-// its process had not yet ended.
-func TestHostIsBackAfterAKill(t *testing.T) {
+// TestHostRestartsRightAfterKill guards against a host that stays down when it is
+// started right after a kill, because start takes the exiting process for a
+// running one.
+func TestHostRestartsRightAfterKill(t *testing.T) {
 	const base = "127.1.79."
 	l, err := net.Listen("tcp", base+"250:7000")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	go func() { _ = http.Serve(l, standin.NewStore()) }() // ends with the listener
+	go func() { _ = http.Serve(l, standin.NewStore()) }() // returns once the listener is closed
 	h, err := newHost(t.TempDir(), buildDaemon(t), "host-0", "hall-0", base+"1")
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +39,7 @@
 		if err := h.start(); err != nil {
 			t.Fatal(err)
 		}
-		await(t, []*host{h}, "answer", answers)
+		waitForHosts(t, []*host{h}, "answer", answers)
 		h.signal(syscall.SIGKILL)
 	}
 }
--- a/cmd/soak/listen_test.go
+++ b/cmd/soak/listen_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// TestAddressIsFreeBesideStarts closes an address and takes it again while
-// processes are started.
-func TestAddressIsFreeBesideStarts(t *testing.T) {
+// TestListenWhenFreeWhileProcessesStart closes an address and listens on it again
+// while other goroutines start processes, which hold copies of the closed socket
+// until they have executed their program.
+func TestListenWhenFreeWhileProcessesStart(t *testing.T) {
 	const addr, times = "127.83.9.9:7201", 500
 	stop := make(chan struct{})
-	var starts sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 4 {
-		starts.Go(func() {
+		wg.Go(func() {
 			for {
 				select {
 				case <-stop:
@@ -28,9 +29,9 @@
 		})
 	}
 	for range times {
-		l, err := listenAgain(t.Context(), addr)
+		l, err := listenWhenFree(t.Context(), addr)
 		if err != nil {
-			t.Errorf("the address was not free: %v", err)
+			t.Errorf("listen again: %v", err)
 			break
 		}
 		if err := l.Close(); err != nil {
@@ -38,5 +39,5 @@
 		}
 	}
 	close(stop)
-	starts.Wait()
+	wg.Wait()
 }
--- a/cmd/soak/notices.go
+++ b/cmd/soak/notices.go
@@ -12,215 +12,221 @@
 )
 
 const (
-	// speakStream numbers the draws of what servers say of themselves, apart from those
-	// of other faults.
-	speakStream = 1 << 32
-	// speakPause is the mean time between two servers that begin to say something, and
-	// speakTime how long they say it at most.
-	speakPause = time.Second
-	speakTime  = 9 * time.Second
-	// limitWindow is the span in which requests to a limited server are counted, and
-	// limitTimes and limitExtra are how many times the limit, and how many beside, it may
-	// get; limitLead is how long hosts have to know of each other.
-	limitWindow = 4 * time.Second
-	limitTimes  = 1.5
-	limitExtra  = 5
-	limitLead   = 3 * time.Second
-	// toldLead is how long before a request its host has to have been told, and restMost
-	// how many may come after that within a rest.
-	toldLead = 500 * time.Millisecond
-	restMost = 2
+	// noticeStream selects the random stream for notices, independent of the streams
+	// for faults and callers.
+	noticeStream = 1 << 32
+	// meanNoticeInterval is the mean time between two notices, maxNoticeTime the
+	// maximum time for which a server sends one.
+	meanNoticeInterval = time.Second
+	maxNoticeTime      = 9 * time.Second
+	// A server may get limitFactor times its limit, plus limitAllowance requests, in
+	// any limitWindow. limitSyncTime is the time that hosts have to exchange a limit
+	// among themselves.
+	limitWindow    = 4 * time.Second
+	limitFactor    = 1.5
+	limitAllowance = 5
+	limitSyncTime  = 3 * time.Second
+	// noticeDelay is the time after which a host must apply a notice that it has
+	// received. maxDuringBackoff is the number of requests that a server may still
+	// get from the host later within a backoff.
+	noticeDelay      = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// arrival is a request that reached a server, with what its answer said.
+// arrival is a request that reached a server, with the answer of the server.
 type arrival struct {
 	standin.Answer
 	request *request
 }
 
-// speak has servers say things of themselves until ctx ends.
-func (w *world) speak(ctx context.Context, rnd *rand.Rand) {
-	says := []func(context.Context, *rand.Rand, *slot, time.Duration){w.nameLimit, w.sayLeaving, w.askForRest}
+// injectNotices makes random servers send notices in their answers until ctx ends.
+func (w *world) injectNotices(ctx context.Context, rnd *rand.Rand) {
+	notices := []func(context.Context, *rand.Rand, *serverSlot, time.Duration){w.reportLimit, w.reportLeaving, w.requestBackoff}
 	for {
 		s := w.slots[rnd.IntN(len(w.slots))]
-		d := speakTime/4 + time.Duration(rnd.Int64N(int64(speakTime*3/4)))
-		says[rnd.IntN(len(says))](ctx, rnd, s, d)
-		if pause.UpTo(ctx, 2*speakPause) != nil {
+		duration := maxNoticeTime/4 + time.Duration(rnd.Int64N(int64(maxNoticeTime*3/4)))
+		notices[rnd.IntN(len(notices))](ctx, rnd, s, duration)
+		if pause.UpTo(ctx, 2*meanNoticeInterval) != nil {
 			return
 		}
 	}
 }
 
-// nameLimit has a server name a limit, then another or none.
-func (w *world) nameLimit(ctx context.Context, rnd *rand.Rand, s *slot, d time.Duration) {
-	server := s.current()
+// reportLimit makes a server report a limit for d, then another limit or none.
+func (w *world) reportLimit(ctx context.Context, rnd *rand.Rand, s *serverSlot, d time.Duration) {
+	server := s.currentServer()
 	server.SetLimit(strconv.FormatFloat(6*rnd.Float64(), 'f', 1, 64))
 	next := ""
 	if rnd.IntN(3) == 0 {
 		next = strconv.Itoa(rnd.IntN(8))
 	}
-	later(ctx, d, func() { server.SetLimit(next) })
+	runAfter(ctx, d, func() { server.SetLimit(next) })
 }
 
-// sayLeaving has a server say in its answers alone that it leaves, and end later.
-func (w *world) sayLeaving(ctx context.Context, _ *rand.Rand, s *slot, d time.Duration) {
+// reportLeaving makes a server report in its answers, but not in its entry, that
+// it leaves, and stops it after d.
+func (w *world) reportLeaving(ctx context.Context, _ *rand.Rand, s *serverSlot, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.http == nil {
-		return // it is being replaced
+	if s.httpServer == nil {
+		return // the server is being replaced
 	}
 	s.server.SetLeaving(true)
-	w.replace(ctx, s, d, time.Second)
+	w.scheduleReplacement(ctx, s, d, time.Second)
 }
 
-// askForRest has a server turn half of the requests away and ask for rest.
-func (w *world) askForRest(ctx context.Context, rnd *rand.Rand, s *slot, d time.Duration) {
-	server, rest := s.current(), strconv.FormatFloat(0.5+3*rnd.Float64(), 'f', 2, 64)
-	own := rand.New(rand.NewPCG(rnd.Uint64(), 0))
+// requestBackoff makes a server refuse half of the requests for d and request a
+// backoff with each refusal.
+func (w *world) requestBackoff(ctx context.Context, rnd *rand.Rand, s *serverSlot, d time.Duration) {
+	server, backoff := s.currentServer(), strconv.FormatFloat(0.5+3*rnd.Float64(), 'f', 2, 64)
+	serverRnd := rand.New(rand.NewPCG(rnd.Uint64(), 0))
 	server.SetShedding(func() string {
-		if own.IntN(2) == 0 {
+		if serverRnd.IntN(2) == 0 {
 			return ""
 		}
-		return rest
+		return backoff
 	})
-	later(ctx, d, func() { server.SetShedding(func() string { return "" }) })
+	runAfter(ctx, d, func() { server.SetShedding(func() string { return "" }) })
 }
 
-func (s *slot) current() *standin.Server {
+func (s *serverSlot) currentServer() *standin.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.server
 }
 
-// checkNotices compares what reached servers with what they had said before.
+// checkNotices checks the requests that reached each server against the notices
+// that it had sent before.
 func (w *world) checkNotices() {
 	w.mu.Lock()
 	byAttempt := map[string]*request{}
-	for _, q := range w.requests {
-		byAttempt[q.attempt] = q
+	for _, req := range w.requests {
+		byAttempt[req.attempt] = req
 	}
 	w.mu.Unlock()
 	for _, s := range w.slots {
 		s.mu.Lock()
-		servers := slices.Clone(s.all)
+		servers := slices.Clone(s.servers)
 		s.mu.Unlock()
 		for _, server := range servers {
-			var as []arrival
+			var arrivals []arrival
 			for _, a := range server.Answers() {
-				if q := byAttempt[a.Attempt]; q != nil {
-					as = append(as, arrival{a, q})
+				if req := byAttempt[a.Attempt]; req != nil {
+					arrivals = append(arrivals, arrival{a, req})
 				}
 			}
-			w.checkSaidLeaving(server.ID(), as)
-			w.checkRest(as, s.proxy)
-			w.checkLimit(server.ID(), as, s.proxy)
+			w.checkReportedLeaving(server.ID(), arrivals)
+			w.checkBackoff(arrivals, s.proxy)
+			w.checkLimit(server.ID(), arrivals, s.proxy)
 		}
 	}
 }
 
-// passed is when a host had passed on each server's answer that says something, the
-// earliest, or no time.
-func passed(as []arrival, server string, h *host, says func(a arrival) bool) (time.Time, bool) {
-	var first time.Time
-	for _, a := range as {
-		at := a.request.sent.Add(a.request.took)
-		if a.request.host == h && a.request.seal == server && says(a) && (first.IsZero() || at.Before(first)) {
-			first = at
+// firstForwarded returns the earliest time at which a caller had received, from
+// the host, an answer of the server that matches, and whether there is one.
+func firstForwarded(arrivals []arrival, server string, h *host, matches func(a arrival) bool) (time.Time, bool) {
+	var earliest time.Time
+	for _, a := range arrivals {
+		received := a.request.sentAt.Add(a.request.duration)
+		if a.request.host == h && a.request.seal == server && matches(a) && (earliest.IsZero() || received.Before(earliest)) {
+			earliest = received
 		}
 	}
-	return first, !first.IsZero()
+	return earliest, !earliest.IsZero()
 }
 
-// checkSaidLeaving looks whether hosts sent something to a server later than allowed after
-// they had passed on that it leaves.
-func (w *world) checkSaidLeaving(server string, as []arrival) {
+// checkReportedLeaving checks that no host sent a request to a server later than
+// allowed after it had forwarded an answer which reports that the server leaves.
+func (w *world) checkReportedLeaving(server string, arrivals []arrival) {
 	for _, h := range w.hosts {
-		told, ok := passed(as, server, h, func(a arrival) bool { return a.Leaves })
+		forwarded, ok := firstForwarded(arrivals, server, h, func(a arrival) bool { return a.Leaves })
 		if !ok {
 			continue
 		}
-		for _, a := range as {
-			if a.request.host == h && a.request.sent.After(told.Add(configDue)) && !h.stoodStill(told, a.At) {
-				w.fail("request %s of %s reached %s, %v after the host had passed on that this leaves",
-					a.Attempt, h.name, server, a.request.sent.Sub(told))
+		for _, a := range arrivals {
+			if a.request.host == h && a.request.sentAt.After(forwarded.Add(configBound)) && !h.hadOutage(forwarded, a.At) {
+				w.failf("request %s of %s reached %s, sent %v after the host forwarded an answer which reports that this server leaves",
+					a.Attempt, h.name, server, a.request.sentAt.Sub(forwarded))
 			}
 		}
 	}
 }
 
-// checkRest looks whether a host that was asked for rest left the server alone.
-func (w *world) checkRest(as []arrival, way *proxy) {
-	for _, asked := range as {
-		if asked.Rest == "" {
+// checkBackoff checks that a host sent at most maxDuringBackoff requests to a
+// server that had requested a backoff from it.
+func (w *world) checkBackoff(arrivals []arrival, p *proxy) {
+	for _, refused := range arrivals {
+		if refused.Rest == "" {
 			continue
 		}
-		seconds, err := strconv.ParseFloat(asked.Rest, 64)
+		seconds, err := strconv.ParseFloat(refused.Rest, 64)
 		if err != nil {
-			panic(err) // it is made in this package
+			panic(err) // the value is formatted by this package
 		}
-		from, to := asked.At.Add(toldLead), asked.At.Add(time.Duration(seconds*float64(time.Second)))
-		h, n := asked.request.host, 0
-		for _, a := range as {
+		from, to := refused.At.Add(noticeDelay), refused.At.Add(time.Duration(seconds*float64(time.Second)))
+		h, n := refused.request.host, 0
+		for _, a := range arrivals {
 			if a.request.host == h && a.At.After(from) && a.At.Before(to) {
 				n++
 			}
 		}
-		if n > restMost && !h.stoodStill(asked.At, to) && !way.harmed(asked.At.Add(-limitLead), to) {
-			w.fail("%d requests of %s within a rest of %v s that request %s was answered with", n, h.name, seconds, asked.Attempt)
+		if n > maxDuringBackoff && !h.hadOutage(refused.At, to) && !p.disturbedDuring(refused.At.Add(-limitSyncTime), to) {
+			w.failf("%d requests of %s reached the server within the backoff of %v s that the answer to request %s asked for", n, h.name, seconds, refused.Attempt)
 		}
 	}
 }
 
-// checkLimit looks whether a server got more than its limit allows from hosts that had
-// been told, in any span that begins long enough after it was first named.
-func (w *world) checkLimit(server string, as []arrival, way *proxy) {
-	first := slices.IndexFunc(as, func(a arrival) bool { return a.Limit != "" })
+// checkLimit checks that a server got no more requests than its limit allows in
+// any limitWindow that begins at least limitSyncTime after the limit was first
+// reported. Only requests of hosts that had received a limit are counted.
+func (w *world) checkLimit(server string, arrivals []arrival, p *proxy) {
+	first := slices.IndexFunc(arrivals, func(a arrival) bool { return a.Limit != "" })
 	if first < 0 {
 		return
 	}
-	told := map[*host]time.Time{}
+	forwardedAt := map[*host]time.Time{}
 	for _, h := range w.hosts {
-		if at, ok := passed(as, server, h, func(a arrival) bool { return a.Limit != "" }); ok {
-			told[h] = at
+		if forwarded, ok := firstForwarded(arrivals, server, h, func(a arrival) bool { return a.Limit != "" }); ok {
+			forwardedAt[h] = forwarded
 		}
 	}
-	for i, begin := range as {
-		if i <= first || begin.At.Before(as[first].At.Add(limitLead)) {
+	for i, begin := range arrivals {
+		if i <= first || begin.At.Before(arrivals[first].At.Add(limitSyncTime)) {
 			continue
 		}
 		end := begin.At.Add(limitWindow)
-		most, named := limitWithin(as, begin.At.Add(-limitLead), end)
-		if !named || way.harmed(begin.At.Add(-limitLead), end) {
+		limit, known := maxLimit(arrivals, begin.At.Add(-limitSyncTime), end)
+		if !known || p.disturbedDuring(begin.At.Add(-limitSyncTime), end) {
 			continue
 		}
 		n := 0
-		for _, a := range as[i:] {
-			t, ok := told[a.request.host]
-			if a.At.Before(end) && ok && t.Add(toldLead).Before(a.At) && !a.request.host.stoodStill(begin.At.Add(-limitLead), a.At) {
+		for _, a := range arrivals[i:] {
+			forwarded, ok := forwardedAt[a.request.host]
+			if a.At.Before(end) && ok && forwarded.Add(noticeDelay).Before(a.At) && !a.request.host.hadOutage(begin.At.Add(-limitSyncTime), a.At) {
 				n++
 			}
 		}
-		if allowed := int(limitTimes*most*limitWindow.Seconds()) + limitExtra; n > allowed {
-			w.fail("%d requests in %v reached a server that names a limit of %v a second; allowed %d (from %s on)",
-				n, limitWindow, most, allowed, begin.Attempt)
+		if allowed := int(limitFactor*limit*limitWindow.Seconds()) + limitAllowance; n > allowed {
+			w.failf("%d requests in %v reached a server that reports a limit of %v per second; allowed %d (from request %s on)",
+				n, limitWindow, limit, allowed, begin.Attempt)
 			return
 		}
 	}
 }
 
-// limitWithin returns the highest limit that was named in a span, and whether one was
-// named right through it.
-func limitWithin(as []arrival, from, to time.Time) (float64, bool) {
-	most := 0.0
-	for _, a := range as {
+// maxLimit returns the highest limit in the answers within [from, to], and whether
+// all of these answers report a limit.
+func maxLimit(arrivals []arrival, from, to time.Time) (float64, bool) {
+	highest := 0.0
+	for _, a := range arrivals {
 		if a.At.Before(from) || a.At.After(to) {
 			continue
 		}
 		l, err := strconv.ParseFloat(a.Limit, 64)
 		if err != nil {
-			return 0, false // none is named
+			return 0, false // the answer reports no limit
 		}
-		most = max(most, l)
+		highest = max(highest, l)
 	}
-	return most, true
+	return highest, true
 }
--- a/cmd/soak/proxy.go
+++ b/cmd/soak/proxy.go
@@ -7,76 +7,77 @@
 	"time"
 )
 
-// What a proxy does with the bytes that pass through it.
+// Modes of a proxy, which apply to all of its connections.
 const (
-	pass   mode = iota
-	delay       // each piece waits for delayTime
-	silent      // nothing passes either way
-	oneWay      // nothing comes back
+	forward   mode = iota
+	delayed        // each read is forwarded after forwardDelay
+	blocked        // nothing is forwarded in either direction
+	noReplies      // nothing is forwarded to the client
 )
 
 const (
-	delayTime = 120 * time.Millisecond
-	// holdPoll is how often held bytes look whether they may go on.
-	holdPoll  = 10 * time.Millisecond
-	pieceSize = 16 << 10
+	forwardDelay = 120 * time.Millisecond
+	// modePollInterval is the time between two checks whether blocked bytes may be
+	// forwarded.
+	modePollInterval = 10 * time.Millisecond
+	bufferSize       = 16 << 10
 )
 
 type (
 	mode int
 
-	// proxy is a loopback proxy before one server.
+	// proxy is a TCP proxy in front of one server, which injects network faults.
 	proxy struct {
 		listener net.Listener
 		target   string
 
-		mu    sync.Mutex
-		mode  mode
-		conns map[net.Conn]bool
-		dead  map[net.Conn]bool // say nothing for good
-		harms harms
+		mu           sync.Mutex
+		mode         mode
+		conns        map[net.Conn]bool
+		blackholed   map[net.Conn]bool // permanently blocked connections
+		disturbances disturbances
 	}
 )
 
-// newProxy listens on addr and passes on to target.
+// newProxy listens on addr and forwards connections to target.
 func newProxy(addr, target string) (*proxy, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, target: target, conns: map[net.Conn]bool{}, dead: map[net.Conn]bool{}}
+	p := &proxy{listener: l, target: target, conns: map[net.Conn]bool{}, blackholed: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
 func (p *proxy) accept() {
 	for {
-		c, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		s, err := net.Dial("tcp", p.target)
+		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = c.Close() // the server is down
+			_ = client.Close() // the server is down
 			continue
 		}
 		p.mu.Lock()
-		p.conns[c], p.conns[s] = true, true
+		p.conns[client], p.conns[server] = true, true
 		p.mu.Unlock()
-		go p.copy(s, c, false)
-		go p.copy(c, s, true)
+		go p.copyBytes(server, client, false)
+		go p.copyBytes(client, server, true)
 	}
 }
 
-func (p *proxy) copy(to, from net.Conn, back bool) {
-	defer p.drop(to)
-	defer p.drop(from)
-	b := make([]byte, pieceSize)
+func (p *proxy) copyBytes(to, from net.Conn, reply bool) {
+	defer p.closeConn(to)
+	defer p.closeConn(from)
+	b := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(b)
-		p.hold(from, back)
+		p.waitUntilForwarded(from, reply)
 		if wasReset(from) {
-			return // what a network holds up is lost with a reset
+			return // a reset discards bytes that are still in transit
 		}
 		if _, w := to.Write(b[:n]); w != nil || err != nil {
 			return
@@ -84,7 +85,7 @@
 	}
 }
 
-// wasReset reports whether the other side has reset a connection.
+// wasReset reports whether the peer has reset a connection.
 func wasReset(c net.Conn) bool {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
@@ -99,73 +100,75 @@
 	return err == nil && code != 0
 }
 
-// hold waits as long as bytes of this direction don't pass on a connection.
-func (p *proxy) hold(c net.Conn, back bool) {
+// waitUntilForwarded blocks until bytes from c may be forwarded. reply says that
+// they go to the client.
+func (p *proxy) waitUntilForwarded(c net.Conn, reply bool) {
 	for first := true; ; first = false {
-		switch m := p.now(c); {
-		case m == delay && first:
-			time.Sleep(delayTime)
+		switch m := p.modeOf(c); {
+		case m == delayed && first:
+			time.Sleep(forwardDelay)
 			return
-		case m == silent, m == oneWay && back:
-			time.Sleep(holdPoll)
+		case m == blocked, m == noReplies && reply:
+			time.Sleep(modePollInterval)
 		default:
 			return
 		}
 	}
 }
 
-// now is what becomes of bytes on a connection.
-func (p *proxy) now(c net.Conn) mode {
+// modeOf returns the mode that applies to a connection.
+func (p *proxy) modeOf(c net.Conn) mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.dead[c] && p.conns[c] {
-		return silent
+	if p.blackholed[c] && p.conns[c] {
+		return blocked
 	}
 	return p.mode
 }
 
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	p.harms.set(m != pass)
+	p.disturbances.setActive(m != forward)
 }
 
-// deaden has all open connections fall silent for good, without a reset, while new
-// ones work.
-func (p *proxy) deaden() {
+// blackhole permanently blocks all open connections without a reset. New
+// connections work.
+func (p *proxy) blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harms.note()
+	p.disturbances.addInstant()
 	for c := range p.conns {
-		p.dead[c] = true
+		p.blackholed[c] = true
 	}
 }
 
-// harmed reports whether the way was harmed at any time of a span.
-func (p *proxy) harmed(from, to time.Time) bool {
+// disturbedDuring reports whether the proxy disturbed connections at any time in
+// [from, to].
+func (p *proxy) disturbedDuring(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.harms.within(from, to)
+	return p.disturbances.overlap(from, to)
 }
 
-// reset breaks all connections with a reset.
+// reset closes all open connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harms.note()
+	p.disturbances.addInstant()
 	for c := range p.conns {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // a failure only makes it a softer end
+			_ = t.SetLinger(0) // if it fails, the connection is closed without a reset
 		}
 		_ = c.Close()
 	}
 }
 
-func (p *proxy) drop(c net.Conn) {
+func (p *proxy) closeConn(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
-	delete(p.dead, c)
+	delete(p.blackholed, c)
 	p.mu.Unlock()
 	_ = c.Close()
 }
--- a/cmd/soak/soak.go
+++ b/cmd/soak/soak.go
@@ -1,20 +1,26 @@
-// Package soak runs the daemons of entry hosts as separate processes, does to
-// them and around them what the real world does, and checks the promises from
-// what callers and backend servers see.
+// Package soak is a fault-injection test. It runs the daemons of entry hosts as
+// separate processes, injects faults into them and their environment, and
+// checks the daemons' guarantees against the observations of callers and
+// backend servers.
 //
-// Faults are drawn from a seed and overlap: processes are killed, paused,
-// stopped and told to read their settings again; their ways to the platform
-// and to backend servers are delayed, reset, silenced or cut one way; the
-// platform refuses, is slow or loses answers; backend servers break answers
-// off, lose them, leave or come back as another; keys are taken away. The
-// soak ends only processes that it started.
+// Faults are drawn from a seed and may overlap:
+//
+//   - Daemons are killed, paused, stopped, and signalled to reload their settings.
+//   - Connections to the platform and to backend servers are delayed, reset,
+//     blocked, or blocked in one direction.
+//   - The platform refuses requests, is slow, or loses answers.
+//   - Backend servers truncate or lose answers, leave, or are replaced by
+//     another server at the same address.
+//   - Keys are revoked.
+//
+// Only processes that were started by this package are ended.
 //
 // # Usage
 //
 //	go test ./cmd/soak                                          # one short seed
-//	go test ./cmd/soak -args -soak.seeds=50 -soak.for=20s       # many, by hand
-//	go test ./cmd/soak -args -soak.seed=17 -soak.keep=DIR       # one again, with its logs
-//	go test ./cmd/soak -args -soak.hosts=30                      # 90 processes
+//	go test ./cmd/soak -args -soak.seeds=50 -soak.for=20s       # many seeds, run by hand
+//	go test ./cmd/soak -args -soak.seed=17 -soak.keep=DIR       # one seed, keeping its logs
+//	go test ./cmd/soak -args -soak.hosts=30                     # 90 processes
 package soak
 
 import (
@@ -34,137 +40,141 @@
 )
 
 const (
-	halls       = 3
+	hallCount   = 3
 	serverCount = 5
-	callers     = 12
+	callerCount = 12
 	service     = "plain"
 	serverPort  = 7200
-	// startTime is for all hosts to serve, recoverTime for all to do so again
-	// when every fault has ended.
-	startTime   = 15 * time.Second
-	recoverTime = 15 * time.Second
-	// faultPause is the mean time between two faults, faultTime how long one
-	// lasts at most.
-	faultPause = 350 * time.Millisecond
-	faultTime  = 2500 * time.Millisecond
-	// keySlack is for a request to get from the check of its key to a
-	// server on a busy machine.
-	keySlack = 500 * time.Millisecond
-	// touchTime is how long hosts and their ways have to be undisturbed before they
-	// owe that no server which leaves gets work.
-	touchTime = 3 * time.Second
-	faultPart = 0.05
+	// startTimeout is the time within which all hosts must serve after the start,
+	// recoveryTimeout the time within which they must serve again after all
+	// faults have ended.
+	startTimeout    = 15 * time.Second
+	recoveryTimeout = 15 * time.Second
+	// meanFaultInterval is the mean time between two faults. maxFaultTime is the
+	// upper bound of the duration that is drawn for a fault; some faults last a
+	// multiple of it.
+	meanFaultInterval = 350 * time.Millisecond
+	maxFaultTime      = 2500 * time.Millisecond
+	// dispatchSlack is the time that a request may take from the check of its key
+	// until it reaches a server, under load.
+	dispatchSlack = 500 * time.Millisecond
+	// undisturbedTime is the time for which a host, the platform and the proxies in
+	// between must have been undisturbed before the host is required to send
+	// nothing to leaving servers.
+	undisturbedTime = 3 * time.Second
+	answerFaultRate = 0.05 // share of answers that are lost or truncated while a fault lasts
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Seed   uint64
-	For    time.Duration
-	Hosts  int    // in each of three halls, up to 60
-	Binary string // slipcrankd
-	Dir    string // for settings and logs
+	Seed     uint64
+	Duration time.Duration
+	Hosts    int    // number of hosts in each of three halls, up to 60
+	Binary   string // path of slipcrankd
+	Dir      string // directory for settings and logs
 }
 
 type (
-	// world is one run.
+	// world is the environment of one run, with all that was observed in it.
 	world struct {
-		rnd   *rand.Rand
-		base  string // of IP numbers
-		store *standin.Store
-		hosts []*host
-		slots []*slot
+		rnd      *rand.Rand
+		ipPrefix string // first three octets of all IP addresses, with the dot
+		store    *standin.Store
+		hosts    []*host
+		slots    []*serverSlot
 
-		mu       sync.Mutex
-		version  int64
-		keys     map[string]string // in force
-		revoked  map[string]time.Time
-		leaving  map[string]time.Time // when servers' leaving was acknowledged
-		harms    harms                // of the platform
-		requests []*request
-		failures []string
+		mu           sync.Mutex
+		version      int64
+		validKeys    map[string]string // workspace by key
+		revokedAt    map[string]time.Time
+		leavingSince map[string]time.Time // by server, when the platform acknowledged that it leaves
+		disturbances disturbances         // of the platform
+		requests     []*request
+		failures     []string
 	}
 
-	// slot is a place for backend servers, one after the other.
-	slot struct {
-		number  int
-		proxy   *proxy
-		backend string // its address behind the proxy
+	// serverSlot is an address at which backend servers run one after the other.
+	serverSlot struct {
+		number     int
+		proxy      *proxy
+		serverAddr string // address of the server behind the proxy
 
-		mu     sync.Mutex
-		id     string
-		server *standin.Server
-		all    []*standin.Server
-		http   *http.Server  // nil while there is none
-		ended  chan struct{} // closed once its address is free
+		mu         sync.Mutex
+		serverID   string
+		server     *standin.Server
+		servers    []*standin.Server
+		httpServer *http.Server  // nil while no server runs
+		closed     chan struct{} // closed once the server's listener is closed
 	}
 )
 
-// Run plays one seed and returns the promises that were broken.
-func Run(o Options) ([]string, error) {
+// Run runs the faults of one seed and returns a message for each violated
+// guarantee. The error reports that the environment could not be started.
+func Run(opts Options) ([]string, error) {
 	w := &world{
-		rnd:     rand.New(rand.NewPCG(o.Seed, 1)),
-		base:    fmt.Sprintf("127.%d.%d.", 2+os.Getpid()%200, 1+o.Seed%250),
-		store:   standin.NewStore(),
-		keys:    map[string]string{"key-0": "workspace-0"},
-		revoked: map[string]time.Time{},
-		leaving: map[string]time.Time{},
+		rnd:          rand.New(rand.NewPCG(opts.Seed, 1)),
+		ipPrefix:     fmt.Sprintf("127.%d.%d.", 2+os.Getpid()%200, 1+opts.Seed%250),
+		store:        standin.NewStore(),
+		validKeys:    map[string]string{"key-0": "workspace-0"},
+		revokedAt:    map[string]time.Time{},
+		leavingSince: map[string]time.Time{},
 	}
-	if err := w.build(o); err != nil {
+	if err := w.start(opts); err != nil {
 		return nil, err
 	}
-	defer w.end()
-	if err := w.serving(startTime); err != nil {
+	defer w.killHosts()
+	if err := w.waitUntilServing(startTimeout); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), o.For)
+	ctx, cancel := context.WithTimeout(context.Background(), opts.Duration)
 	defer cancel()
-	var all sync.WaitGroup
-	for n := range callers {
-		r := rand.New(rand.NewPCG(o.Seed, uint64(n)+2))
-		all.Go(func() { w.call(ctx, r) })
+	var wg sync.WaitGroup
+	for n := range callerCount {
+		rnd := rand.New(rand.NewPCG(opts.Seed, uint64(n)+2))
+		wg.Go(func() { w.runCaller(ctx, rnd) })
 	}
-	all.Go(func() { w.strike(ctx) })
-	all.Go(func() { w.speak(ctx, rand.New(rand.NewPCG(o.Seed, speakStream))) })
-	all.Wait()
-	w.calm()
-	if err := w.serving(recoverTime); err != nil {
-		w.fail("after all faults had ended: %v", err)
+	wg.Go(func() { w.injectFaults(ctx) })
+	wg.Go(func() { w.injectNotices(ctx, rand.New(rand.NewPCG(opts.Seed, noticeStream))) })
+	wg.Wait()
+	w.endFaults()
+	if err := w.waitUntilServing(recoveryTimeout); err != nil {
+		w.failf("after the end of all faults: %v", err)
 	}
 	w.checkRuns()
 	w.checkNotices()
 	return w.failures, nil
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *world) failf(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fails(fmt.Sprintf(format, args...))
+	w.addFailure(fmt.Sprintf(format, args...))
 }
 
-// fails notes a broken promise. The world is locked.
-func (w *world) fails(what string) { w.failures = append(w.failures, what) }
+// addFailure records a violated guarantee. The caller holds w.mu.
+func (w *world) addFailure(message string) { w.failures = append(w.failures, message) }
 
-// build starts the platform, backend servers and hosts.
-func (w *world) build(o Options) error {
-	storeAddr := w.base + "250:7000"
+// start starts the platform, the backend servers and the hosts.
+func (w *world) start(opts Options) error {
+	storeAddr := w.ipPrefix + "250:7000"
 	l, err := net.Listen("tcp", storeAddr)
 	if err != nil {
 		return err
 	}
-	go func() { _ = http.Serve(l, w.store) }() // ends with the process
-	w.configure()
+	go func() { _ = http.Serve(l, w.store) }() // serves until the process exits
+	w.putConfig()
 	for n := range serverCount {
-		s := &slot{number: n, backend: fmt.Sprintf("%s%d:%d", w.base, 200+n, serverPort+1)}
-		if s.proxy, err = newProxy(fmt.Sprintf("%s%d:%d", w.base, 200+n, serverPort), s.backend); err != nil {
+		s := &serverSlot{number: n, serverAddr: fmt.Sprintf("%s%d:%d", w.ipPrefix, 200+n, serverPort+1)}
+		if s.proxy, err = newProxy(fmt.Sprintf("%s%d:%d", w.ipPrefix, 200+n, serverPort), s.serverAddr); err != nil {
 			return err
 		}
 		w.slots = append(w.slots, s)
-		if err := w.begin(s); err != nil {
+		if err := w.startServer(s); err != nil {
 			return err
 		}
 	}
-	for n := range halls * o.Hosts {
-		h, err := newHost(o.Dir, o.Binary, fmt.Sprintf("host-%d", n), fmt.Sprintf("hall-%d", n%halls), fmt.Sprintf("%s%d", w.base, n+1))
+	for n := range hallCount * opts.Hosts {
+		h, err := newHost(opts.Dir, opts.Binary, fmt.Sprintf("host-%d", n), fmt.Sprintf("hall-%d", n%hallCount), fmt.Sprintf("%s%d", w.ipPrefix, n+1))
 		if err != nil {
 			return err
 		}
@@ -179,166 +189,172 @@
 	return nil
 }
 
-// configure writes the next configuration with the keys in force.
-func (w *world) configure() {
+// putConfig writes the next version of the configuration, with the valid keys.
+func (w *world) putConfig() {
 	w.version++
 	route := func(name string, k site.Kind, attempts int) site.Route {
 		return site.Route{
-			Name: name, Host: callerHost, Prefix: "/" + name + "/", Kind: k, Attempts: attempts, Resume: k == site.Stream,
-			Timeout: deadline, Objective: 200 * time.Millisecond, Gap: 200 * time.Millisecond,
+			Name: name, Host: siteHost, Prefix: "/" + name + "/", Kind: k, Attempts: attempts, Resume: k == site.Stream,
+			Timeout: requestDeadline, Objective: 200 * time.Millisecond, Gap: 200 * time.Millisecond,
 			Targets: []site.Target{{Service: service, Weight: 1}},
 		}
 	}
 	w.store.PutConfig(w.version, []site.Route{
 		route("safe", site.Repeatable, 2), route("once", site.Once, 1), route("stream", site.Stream, 2),
-	}, []string{service}, w.keys)
+	}, []string{service}, w.validKeys)
 }
 
-// begin starts the next backend server of a slot.
-func (w *world) begin(s *slot) error {
-	l, err := listenAgain(context.Background(), s.backend)
+// startServer starts the next backend server of a slot.
+func (w *world) startServer(s *serverSlot) error {
+	l, err := listenWhenFree(context.Background(), s.serverAddr)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.id = fmt.Sprintf("s%d-%d", s.number, len(s.all)+1)
-	s.server = standin.NewServer(s.id, service)
-	s.all = append(s.all, s.server)
-	s.http = &http.Server{Handler: s.server}
-	s.ended = make(chan struct{})
+	s.serverID = fmt.Sprintf("s%d-%d", s.number, len(s.servers)+1)
+	s.server = standin.NewServer(s.serverID, service)
+	s.servers = append(s.servers, s.server)
+	s.httpServer = &http.Server{Handler: s.server}
+	s.closed = make(chan struct{})
 	go func(h *http.Server, ended chan struct{}) {
-		_ = h.Serve(l) // ends with Close
+		_ = h.Serve(l) // returns after Close
 		close(ended)
-	}(s.http, s.ended)
-	w.announce(s, false)
+	}(s.httpServer, s.closed)
+	w.putServerEntry(s, false)
 	return nil
 }
 
-// announce writes the entry of the slot's server. The slot is locked.
-func (w *world) announce(s *slot, draining bool) {
+// putServerEntry writes the platform's entry for the slot's server. The caller
+// holds s.mu.
+func (w *world) putServerEntry(s *serverSlot, draining bool) {
 	w.store.PutServer(backend.Server{
-		ID: s.id, Service: service, Addr: s.proxy.listener.Addr().String(), Hall: "hall-0", Slots: 8, Draining: draining,
+		ID: s.serverID, Service: service, Addr: s.proxy.listener.Addr().String(), Hall: "hall-0", Slots: 8, Draining: draining,
 	})
 }
 
-func (w *world) anyKey(rnd *rand.Rand) string {
+// randomKey returns a valid key or a revoked one.
+func (w *world) randomKey(rnd *rand.Rand) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for k := range w.keys {
+	for k := range w.validKeys {
 		if rnd.IntN(2) == 0 {
 			return k
 		}
 	}
-	for k := range w.revoked {
+	for k := range w.revokedAt {
 		return k
 	}
 	return "key-0"
 }
 
-// serving waits until each host answers a request.
-func (w *world) serving(limit time.Duration) error {
+// waitUntilServing waits until each host has answered a request with success.
+func (w *world) waitUntilServing(timeout time.Duration) error {
 	t := &http.Transport{}
 	defer t.CloseIdleConnections()
-	end := time.Now().Add(limit)
+	end := time.Now().Add(timeout)
 	for _, h := range w.hosts {
 		for {
-			r := &request{kind: "safe", key: w.liveKey(), host: h}
-			r.attempt, r.token = fmt.Sprintf("p%d", serial.Add(1)), "probe"
+			r := &request{kind: "safe", key: w.validKey(), host: h}
+			r.attempt, r.token = fmt.Sprintf("p%d", lastAttempt.Add(1)), "probe"
 			w.send(t, r)
-			if r.status == http.StatusOK && !r.cut {
+			if r.status == http.StatusOK && !r.incomplete {
 				break
 			}
 			if time.Now().After(end) {
-				return fmt.Errorf("%s serves nothing within %v: status %d", h.name, limit, r.status)
+				return fmt.Errorf("%s did not serve a request within %v: last status %d", h.name, timeout, r.status)
 			}
-			time.Sleep(callerPause)
+			time.Sleep(callerInterval)
 		}
 	}
 	return nil
 }
 
-func (w *world) liveKey() string {
+func (w *world) validKey() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for k := range w.keys {
+	for k := range w.validKeys {
 		return k
 	}
 	return ""
 }
 
-// end stops what the run has started.
-func (w *world) end() {
+// killHosts kills the daemons, paused ones included.
+func (w *world) killHosts() {
 	for _, h := range w.hosts {
 		h.signal(syscall.SIGCONT)
 		h.signal(syscall.SIGKILL)
 	}
 }
 
-// checkRuns compares what servers ran with what callers were told.
+// checkRuns compares the requests that servers ran with the answers that callers
+// got.
 func (w *world) checkRuns() {
 	runs := map[string][]standin.Run{}
-	ways := map[string]*proxy{} // by server
+	proxies := map[string]*proxy{} // by server ID
 	for _, s := range w.slots {
 		s.mu.Lock()
-		for _, b := range s.all {
-			for _, r := range b.Runs() {
-				runs[r.Attempt] = append(runs[r.Attempt], r)
-				ways[r.Server] = s.proxy
+		for _, server := range s.servers {
+			for _, run := range server.Runs() {
+				runs[run.Attempt] = append(runs[run.Attempt], run)
+				proxies[run.Server] = s.proxy
 			}
 		}
 		s.mu.Unlock()
 	}
 	w.mu.Lock()
-	requests, revoked := w.requests, w.revoked
+	requests, revokedAt := w.requests, w.revokedAt
 	w.mu.Unlock()
-	for _, q := range requests {
-		rs := runs[q.attempt]
-		if q.kind == "once" && len(rs) > 1 {
-			w.fail("request %s, to run once, ran %d times", q.attempt, len(rs))
+	for _, req := range requests {
+		reqRuns := runs[req.attempt]
+		if req.kind == "once" && len(reqRuns) > 1 {
+			w.failf("request %s, which may run only once, ran %d times", req.attempt, len(reqRuns))
 		}
-		if q.kind == "once" && len(rs) > 0 && promises(q.status) {
-			w.fail("request %s was refused with %d and has run", q.attempt, q.status)
+		if req.kind == "once" && len(reqRuns) > 0 && claimsNotRun(req.status) {
+			w.failf("request %s was refused with status %d but ran", req.attempt, req.status)
 		}
-		for _, r := range rs {
-			w.checkRun(q, r, revoked)
-			w.checkLeaving(q, r, ways[r.Server])
+		for _, run := range reqRuns {
+			w.checkRun(req, run, revokedAt)
+			w.checkLeavingServer(req, run, proxies[run.Server])
 		}
 	}
 }
 
-func (w *world) checkRun(q *request, r standin.Run, revoked map[string]time.Time) {
-	if r.Key != "" {
-		w.fail("request %s: the server was shown the key", q.attempt)
+func (w *world) checkRun(req *request, run standin.Run, revokedAt map[string]time.Time) {
+	if run.Key != "" {
+		w.failf("request %s: the key was forwarded to the server", req.attempt)
 	}
-	if want := "workspace" + q.key[len("key"):]; r.Workspace != want {
-		w.fail("request %s ran for %s, its key is of %s", q.attempt, r.Workspace, want)
+	if want := "workspace" + req.key[len("key"):]; run.Workspace != want {
+		w.failf("request %s ran for %s, but its key belongs to %s", req.attempt, run.Workspace, want)
 	}
-	if r.Token != q.token {
-		w.fail("request %s ran as %s, sent as %s", q.attempt, r.Token, q.token)
+	if run.Token != req.token {
+		w.failf("request %s ran with token %s, but was sent with %s", req.attempt, run.Token, req.token)
 	}
-	if at, ok := revoked[q.key]; ok && r.At.After(at.Add(keyProof+keySlack)) {
-		w.fail("request %s ran %v after its key was taken away", q.attempt, r.At.Sub(at))
+	if revoked, ok := revokedAt[req.key]; ok && run.At.After(revoked.Add(keyProof+dispatchSlack)) {
+		w.failf("request %s ran %v after its key was revoked", req.attempt, run.At.Sub(revoked))
 	}
 }
 
-// checkLeaving looks whether a server that was leaving got work from a host that had
-// been undisturbed, with its ways, for as long as it may need to hear of it.
-func (w *world) checkLeaving(q *request, r standin.Run, way *proxy) {
+// checkLeavingServer checks that a server got no request later than allowed
+// after the platform had acknowledged that it leaves. Runs are skipped if the
+// platform, the host or the proxy of the server was disturbed within the
+// undisturbedTime before, since the host may then not have received the entry.
+func (w *world) checkLeavingServer(req *request, run standin.Run, p *proxy) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at, leaves := w.leaving[r.Server]
-	if !leaves || !r.At.After(at.Add(configDue+keySlack)) {
+	since, leaving := w.leavingSince[run.Server]
+	if !leaving || !run.At.After(since.Add(configBound+dispatchSlack)) {
 		return
 	}
-	from := r.At.Add(-touchTime)
-	if w.harms.within(from, r.At) || q.host.harmed(from, r.At) || way.harmed(from, r.At) {
+	from := run.At.Add(-undisturbedTime)
+	if w.disturbances.overlap(from, run.At) || req.host.disturbedDuring(from, run.At) || p.disturbedDuring(from, run.At) {
 		return
 	}
-	w.fails(fmt.Sprintf("request %s of %s ran on %s, %v after its leaving was acknowledged", q.attempt, q.host.name, r.Server, r.At.Sub(at)))
+	w.addFailure(fmt.Sprintf("request %s of %s ran on %s, %v after the platform acknowledged that this server leaves", req.attempt, req.host.name, run.Server, run.At.Sub(since)))
 }
 
-func promises(status int) bool {
+// claimsNotRun reports whether a status guarantees that the request was not run.
+func claimsNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -13,21 +13,21 @@
 )
 
 var (
-	seeds = flag.Uint64("soak.seeds", 1, "how many seeds are played")
-	first = flag.Uint64("soak.seed", 1, "the first seed")
-	hosts = flag.Int("soak.hosts", 2, "how many hosts each of three halls has")
-	span  = flag.Duration("soak.for", 8*time.Second, "how long each is played")
-	keep  = flag.String("soak.keep", "", "a folder for settings and logs")
+	seedCount    = flag.Uint64("soak.seeds", 1, "how many seeds are played")
+	firstSeed    = flag.Uint64("soak.seed", 1, "the first seed")
+	hostsPerHall = flag.Int("soak.hosts", 2, "how many hosts each of three halls has")
+	runTime      = flag.Duration("soak.for", 8*time.Second, "how long each is played")
+	keepDir      = flag.String("soak.keep", "", "a folder for settings and logs")
 )
 
-// failed are seeds that failed once, with the cause.
-var failed = []uint64{
-	122, // the soak's own: a server was closed before it served, and its address was still in use
-	23,  // the soak's own: a host that was killed and started at once stayed down
+// regressionSeeds lists seeds that have failed before, with the cause. They run each time.
+var regressionSeeds = []uint64{
+	122, // fault of this package: a server was closed before it served, and its address was still in use
+	23,  // fault of this package: a host that was started right after a kill stayed down
 }
 
 func TestSoak(t *testing.T) {
-	dir := *keep
+	dir := *keepDir
 	if dir == "" {
 		dir = t.TempDir()
 	}
@@ -35,22 +35,22 @@
 	if out, err := exec.Command("go", "build", "-o", binary, "slipcrank.example/cmd/slipcrankd").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	all := failed
-	for n := range *seeds {
-		all = append(all, *first+n)
+	seeds := regressionSeeds
+	for n := range *seedCount {
+		seeds = append(seeds, *firstSeed+n)
 	}
-	for _, s := range all {
-		t.Run(fmt.Sprint("seed ", s), func(t *testing.T) {
-			own := filepath.Join(dir, fmt.Sprint(s))
-			if err := os.MkdirAll(own, 0o700); err != nil {
+	for _, seed := range seeds {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			seedDir := filepath.Join(dir, fmt.Sprint(seed))
+			if err := os.MkdirAll(seedDir, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			broken, err := soak.Run(soak.Options{Seed: s, For: *span, Hosts: *hosts, Binary: binary, Dir: own})
+			violations, err := soak.Run(soak.Options{Seed: seed, Duration: *runTime, Hosts: *hostsPerHall, Binary: binary, Dir: seedDir})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range broken {
-				t.Error(b)
+			for _, v := range violations {
+				t.Error(v)
 			}
 		})
 	}
