--- a/cmd/slipcrankd/entry.go
+++ b/cmd/slipcrankd/entry.go
@@ -14,13 +14,13 @@
 	"slipcrank.example/platform"
 )
 
-// settingsPeriod is how often the settings file is looked at, since it may
-// change without a signal; none of the settings is urgent.
-const settingsPeriod = 2 * time.Second
+// settingsPollInterval is the time between two checks whether the settings file
+// has changed, since it may change without a signal. No setting is urgent.
+const settingsPollInterval = 2 * time.Second
 
-// runEntry serves as an entry host on the users' platform until SIGTERM, and
-// returns the exit code. SIGHUP, or a changed file, has the settings read
-// again.
+// runEntry serves as an entry host on the users' platform until SIGTERM or
+// SIGINT, and returns the exit code. It reloads the settings on SIGHUP and when
+// their file changes.
 func runEntry() int {
 	path := platform.SettingsPath()
 	s, err := settings.LoadEntry(path)
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go settings.Follow(ctx, path, settingsPeriod, e.Reload)
+	go settings.Follow(ctx, path, settingsPollInterval, e.Reload)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	for sig := range signals {
--- a/cmd/slipcrankd/log_test.go
+++ b/cmd/slipcrankd/log_test.go
@@ -7,57 +7,59 @@
 	"time"
 )
 
-// logBuffer keeps what a process writes, and lets a test wait for a line of it.
+// logBuffer stores the output of a process and lets a test wait for a matching
+// line.
 type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	more chan struct{} // closed when more has been written
+	mu      sync.Mutex
+	text    bytes.Buffer
+	written chan struct{} // closed by the next Write
 }
 
-// Write keeps b.
+// Write appends b and wakes waiting tests.
 func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.more != nil {
-		close(l.more)
-		l.more = nil
+	if l.written != nil {
+		close(l.written)
+		l.written = nil
 	}
 	return l.text.Write(b)
 }
 
-// String returns all that was written.
+// String returns the output so far.
 func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// find waits until what was written has a match, and returns the first group
-// of it.
-func (l *logBuffer) find(x *regexp.Regexp) (string, bool) {
-	limit := time.After(patience)
+// waitFor waits until the output matches pattern and returns the first group of
+// the match, or false after waitTimeout.
+func (l *logBuffer) waitFor(pattern *regexp.Regexp) (string, bool) {
+	timeout := time.After(waitTimeout)
 	for {
-		match, more := l.look(x)
-		if match != "" {
-			return match, true
+		group, written := l.match(pattern)
+		if group != "" {
+			return group, true
 		}
 		select {
-		case <-more:
-		case <-limit:
+		case <-written:
+		case <-timeout:
 			return "", false
 		}
 	}
 }
 
-// look returns the first group of a match, or what is closed after more.
-func (l *logBuffer) look(x *regexp.Regexp) (string, <-chan struct{}) {
+// match returns the first group of a match or, without a match, a channel that the
+// next Write closes.
+func (l *logBuffer) match(pattern *regexp.Regexp) (string, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if m := x.FindSubmatch(l.text.Bytes()); m != nil {
+	if m := pattern.FindSubmatch(l.text.Bytes()); m != nil {
 		return string(m[1]), nil
 	}
-	if l.more == nil {
-		l.more = make(chan struct{})
+	if l.written == nil {
+		l.written = make(chan struct{})
 	}
-	return "", l.more
+	return "", l.written
 }
--- a/cmd/slipcrankd/main.go
+++ b/cmd/slipcrankd/main.go
@@ -4,7 +4,7 @@
 //
 //	slipcrankd --settings slipcrankd.yaml
 //	slipcrankd --settings slipcrankd.yaml --check
-//	slipcrankd entry    # settings from the file that the platform names
+//	slipcrankd entry    # entry host on the users' platform, which gives the path of the settings
 package main
 
 import (
@@ -51,7 +51,7 @@
 	}
 }
 
-// run serves until the first SIGTERM or SIGINT, then stops as planned. A
+// run serves until the first SIGTERM or SIGINT and then shuts down gracefully. A
 // second signal ends the daemon at once.
 func run(s settings.Settings) error {
 	defer klog.Flush()
--- a/cmd/slipcrankd/process_test.go
+++ b/cmd/slipcrankd/process_test.go
@@ -26,13 +26,13 @@
 )
 
 const (
-	patience = 60 * time.Second
-	token    = "process-test"
+	waitTimeout   = 60 * time.Second
+	operatorToken = "process-test"
 )
 
-var binaries string
+var binDir string
 
-// TestMain builds the two binaries once.
+// TestMain builds the binaries of the client and the daemon once.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "slipcrank")
 	if err != nil {
@@ -42,25 +42,27 @@
 	if err != nil {
 		panic(fmt.Sprintf("build: %v\n%s", err, out))
 	}
-	binaries = dir
+	binDir = dir
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// process is one running program of ours.
+// process is a running client or daemon.
 type process struct {
-	t    *testing.T
-	cmd  *exec.Cmd
-	addr string // of a stand-in, or for callers of a daemon
-	ops  string // operators' address of a daemon
-	peer string // by which other daemons know it
-	log  logBuffer
+	t             *testing.T
+	cmd           *exec.Cmd
+	addr          string // address of a stand-in, or callers' address of a daemon
+	operatorsAddr string // operators' address of a daemon
+	peerAddr      string // address of a daemon for other daemons
+	log           logBuffer
 }
 
-func run(t *testing.T, name string, args ...string) *process {
+// startProcess starts a binary until the end of the test. Stand-ins, which are
+// subcommands of slipcrank, print their address as the first line.
+func startProcess(t *testing.T, name string, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, cmd: exec.Command(filepath.Join(binaries, name), args...)}
+	p := &process{t: t, cmd: exec.Command(filepath.Join(binDir, name), args...)}
 	p.cmd.Stderr = &p.log
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -74,7 +76,7 @@
 		_ = p.cmd.Process.Kill()
 		_ = p.cmd.Wait()
 		if t.Failed() {
-			t.Logf("%s %v wrote:\n%s", name, args, p.log.String())
+			t.Logf("log of %s %v:\n%s", name, args, p.log.String())
 		}
 	})
 	if name == "slipcrank" {
@@ -94,39 +96,39 @@
 	}
 }
 
-func standin(t *testing.T, kind string, flags ...string) *process {
+func startStandin(t *testing.T, kind string, flags ...string) *process {
 	t.Helper()
-	return run(t, "slipcrank", append(append([]string{"standin"}, flags...), kind)...)
+	return startProcess(t, "slipcrank", append(append([]string{"standin"}, flags...), kind)...)
 }
 
-func daemon(t *testing.T, hall, platform string) *process {
+func startDaemon(t *testing.T, hall, platform string) *process {
 	t.Helper()
-	return daemonWith(t, hall, platform, "")
+	return startDaemonWith(t, hall, platform, "")
 }
 
-// daemonWith starts a daemon with more lines of settings. It listens on ports
-// that the system chooses, and tells them in its log: a port that a test had
-// chosen could be taken before the daemon opens it.
-func daemonWith(t *testing.T, hall, platform, more string) *process {
+// startDaemonWith starts a daemon with extra lines of settings. The daemon listens
+// on ports that the system chooses and that it logs, since a port chosen by the
+// test could be taken by another process before the daemon opens it.
+func startDaemonWith(t *testing.T, hall, platform, extra string) *process {
 	t.Helper()
-	d := sha256.Sum256([]byte(token))
-	text := fmt.Sprintf("hall: %s\nplatform: %s\noperator_token_sha256: %s\nlisten:\n  callers: 127.0.0.1:0\n  peers: 127.0.0.1:0\n  operators: 127.0.0.1:0\nperiods:\n  lease: 2s\ndrain:\n  notice: 200ms\n%s",
-		hall, platform, hex.EncodeToString(d[:]), more)
+	digest := sha256.Sum256([]byte(operatorToken))
+	yaml := fmt.Sprintf("hall: %s\nplatform: %s\noperator_token_sha256: %s\nlisten:\n  callers: 127.0.0.1:0\n  peers: 127.0.0.1:0\n  operators: 127.0.0.1:0\nperiods:\n  lease: 2s\ndrain:\n  notice: 200ms\n%s",
+		hall, platform, hex.EncodeToString(digest[:]), extra)
 	path := filepath.Join(t.TempDir(), "slipcrankd.yaml")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(yaml), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := run(t, "slipcrankd", "--settings", path)
-	p.addr, p.ops, p.peer = p.logged("callers"), p.logged("operators"), p.logged("peers")
+	p := startProcess(t, "slipcrankd", "--settings", path)
+	p.addr, p.operatorsAddr, p.peerAddr = p.loggedAddr("callers"), p.loggedAddr("operators"), p.loggedAddr("peers")
 	return p
 }
 
-// logged returns what a daemon's line that it is ready says under a key.
-func (p *process) logged(key string) string {
+// loggedAddr waits for the daemon's ready event and returns its value for a key.
+func (p *process) loggedAddr(key string) string {
 	p.t.Helper()
-	v, ok := p.log.find(regexp.MustCompile(`"SC1101 daemon ready".* ` + key + `="([^"]+)"`))
+	v, ok := p.log.waitFor(regexp.MustCompile(`"SC1101 daemon ready".* ` + key + `="([^"]+)"`))
 	if !ok {
-		p.t.Fatalf("not within %v: the daemon says that it is ready", patience)
+		p.t.Fatalf("the daemon did not log that it is ready within %v", waitTimeout)
 	}
 	return v
 }
@@ -140,19 +142,19 @@
 
 func startFleet(t *testing.T, daemons, engines int, runnerFlags ...string) *fleet {
 	t.Helper()
-	f := &fleet{t: t, platform: standin(t, "platform"), runner: standin(t, "runner", runnerFlags...)}
+	f := &fleet{t: t, platform: startStandin(t, "platform"), runner: startStandin(t, "runner", runnerFlags...)}
 	list := []hosts.Host{{Addr: f.runner.addr, Hall: "leon", Role: hosts.Service, Service: "vouchers"}}
 	for range engines {
-		e := standin(t, "engine")
+		e := startStandin(t, "engine")
 		f.engines = append(f.engines, e)
 		list = append(list, hosts.Host{Addr: e.addr, Hall: "leon", Role: hosts.Engine, ChecksFence: true})
 	}
 	for range daemons {
-		d := daemon(t, "leon", f.platform.addr)
+		d := startDaemon(t, "leon", f.platform.addr)
 		f.daemons = append(f.daemons, d)
-		list = append(list, hosts.Host{Addr: d.peer, Hall: "leon", Role: hosts.Entry})
+		list = append(list, hosts.Host{Addr: d.peerAddr, Hall: "leon", Role: hosts.Entry})
 	}
-	f.must(f.platform, "/control/hosts", map[string]any{"hosts": list}, nil)
+	f.control(f.platform, "/control/hosts", map[string]any{"hosts": list}, nil)
 	f.eventually("a daemon answers operators", func() bool { return f.apply(devel.Templates()[0]) == nil })
 	f.eventually("all daemons serve", func() bool {
 		for _, d := range f.daemons {
@@ -165,50 +167,56 @@
 	return f
 }
 
-func (f *fleet) eventually(what string, ok func() bool) {
+// eventually waits until ok is true, and ends the test after waitTimeout. condition
+// describes what is waited for.
+func (f *fleet) eventually(condition string, ok func() bool) {
 	f.t.Helper()
-	tick := time.NewTicker(20 * time.Millisecond)
-	defer tick.Stop()
-	limit := time.After(patience)
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
+	timeout := time.After(waitTimeout)
 	for !ok() {
 		select {
-		case <-tick.C:
-		case <-limit:
-			f.t.Fatalf("not within %v: %s", patience, what)
+		case <-ticker.C:
+		case <-timeout:
+			f.t.Fatalf("not within %v: %s", waitTimeout, condition)
 		}
 	}
 }
 
-func (f *fleet) must(p *process, path string, in, out any) {
+// control posts in as JSON to a control endpoint of a stand-in and decodes the
+// answer into out, unless out is nil.
+func (f *fleet) control(p *process, path string, in, out any) {
 	f.t.Helper()
 	b, err := json.Marshal(in)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	a, err := http.Post("http://"+p.addr+path, "application/json", bytes.NewReader(b))
+	resp, err := http.Post("http://"+p.addr+path, "application/json", bytes.NewReader(b))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer resp.Body.Close()
 	if out == nil {
 		return
 	}
-	if err := json.NewDecoder(a.Body).Decode(out); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
+// apply applies a template through daemon 0 with the operators' client.
 func (f *fleet) apply(t template.Template) error {
 	b, err := t.YAML()
 	if err != nil {
 		return err
 	}
-	c := exec.Command(filepath.Join(binaries, "slipcrank"), "template", "--addr", f.daemons[0].ops, "apply", "-")
-	c.Env = append(os.Environ(), "SLIPCRANK_TOKEN="+token)
+	c := exec.Command(filepath.Join(binDir, "slipcrank"), "template", "--addr", f.daemons[0].operatorsAddr, "apply", "-")
+	c.Env = append(os.Environ(), "SLIPCRANK_TOKEN="+operatorToken)
 	c.Stdin = bytes.NewReader(b)
 	return c.Run()
 }
 
+// request posts a request to a daemon as a workspace.
 func request(addr, path, body string, header map[string]string) (*http.Response, error) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+addr+path, strings.NewReader(body))
 	if err != nil {
@@ -221,36 +229,37 @@
 	return http.DefaultClient.Do(r)
 }
 
-func body(tokens int) string {
+func completionBody(tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":"one two three","max_tokens":%d,"stream":true}`, devel.Model, tokens)
 }
 
-// complete returns the status and the text of a streamed completion from after
-// the event with id last. The text is "" unless the end marker came.
-func (f *fleet) complete(d *process, tokens int, last string) (int, string) {
-	a, err := request(d.addr, "/v1/completions", body(tokens), map[string]string{"Last-Event-ID": last})
+// complete returns the status and the text of a streamed completion that resumes
+// after the event lastID. The text is "" if the end marker is missing.
+func (f *fleet) complete(d *process, tokens int, lastID string) (int, string) {
+	resp, err := request(d.addr, "/v1/completions", completionBody(tokens), map[string]string{"Last-Event-ID": lastID})
 	if err != nil {
 		return 0, ""
 	}
-	defer a.Body.Close()
-	text, _, done := read(bufio.NewReader(a.Body), -1)
+	defer resp.Body.Close()
+	text, _, done := readEvents(bufio.NewReader(resp.Body), -1)
 	if !done {
-		return a.StatusCode, ""
+		return resp.StatusCode, ""
 	}
-	return a.StatusCode, text
+	return resp.StatusCode, text
 }
 
-// read reads events until the end, or until it has seen most tokens. It
-// returns their text, the id of the last, and whether the end marker came.
-func read(b *bufio.Reader, most int) (text, last string, done bool) {
-	for n := 0; most < 0 || n < most; {
+// readEvents reads events until the end of the stream or, if maxTokens is not
+// negative, until it has read that many tokens. It returns their text, the ID of
+// the last event, and whether the end marker was read.
+func readEvents(b *bufio.Reader, maxTokens int) (text, lastID string, done bool) {
+	for n := 0; maxTokens < 0 || n < maxTokens; {
 		line, err := b.ReadString('\n')
 		if err != nil {
-			return text, last, done
+			return text, lastID, done
 		}
 		line = strings.TrimSpace(line)
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
-			last = id
+			lastID = id
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
@@ -270,38 +279,40 @@
 			n++
 		}
 	}
-	return text, last, done
+	return text, lastID, done
 }
 
-func TestKilledEngineLosesNoTokenAndDoublesNone(t *testing.T) {
+// TestStreamOfKilledEngineIsComplete kills an engine in the middle of a stream. The
+// caller must get each token exactly once.
+func TestStreamOfKilledEngineIsComplete(t *testing.T) {
 	f := startFleet(t, 2, 3)
 	const tokens = 200
 	_, want := f.complete(f.daemons[0], tokens, "")
-	a, err := request(f.daemons[0].addr, "/v1/completions", body(tokens), nil)
+	resp, err := request(f.daemons[0].addr, "/v1/completions", completionBody(tokens), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
-	b := bufio.NewReader(a.Body)
-	begun, _, _ := read(b, 20)
-	f.busiest().signal(syscall.SIGKILL)
-	rest, _, done := read(b, -1)
-	if !done || begun+rest != want {
-		t.Errorf("after the kill the answer has %d characters and end marker %v, want %d characters",
-			len(begun+rest), done, len(want))
+	defer resp.Body.Close()
+	b := bufio.NewReader(resp.Body)
+	head, _, _ := readEvents(b, 20)
+	f.streamingEngine().signal(syscall.SIGKILL)
+	tail, _, done := readEvents(b, -1)
+	if !done || head+tail != want {
+		t.Errorf("after the engine was killed, the answer has %d characters and end marker %v, want %d characters",
+			len(head+tail), done, len(want))
 	}
 }
 
 // busiest returns the engine that is running a stream.
-func (f *fleet) busiest() *process {
+func (f *fleet) streamingEngine() *process {
 	f.t.Helper()
 	for _, e := range f.engines {
-		a, err := http.Get("http://" + e.addr + "/engine/holdings")
+		resp, err := http.Get("http://" + e.addr + "/engine/holdings")
 		if err != nil {
 			continue
 		}
-		b, _ := io.ReadAll(a.Body)
-		_ = a.Body.Close()
+		b, _ := io.ReadAll(resp.Body)
+		_ = resp.Body.Close()
 		if bytes.Contains(b, []byte(`"stream"`)) {
 			return e
 		}
@@ -310,73 +321,78 @@
 	return nil
 }
 
-func TestKilledDaemonHarmsNoOtherAndItsStreamGoesOnElsewhere(t *testing.T) {
+// TestStreamOfKilledDaemonResumesAtOtherDaemon kills a daemon in the middle of a
+// stream. Its caller resumes the stream at the other daemon, whose own stream must
+// be unaffected.
+func TestStreamOfKilledDaemonResumesAtOtherDaemon(t *testing.T) {
 	f := startFleet(t, 2, 2)
 	const tokens = 150
 	_, want := f.complete(f.daemons[1], tokens, "")
 	var streams [2]*bufio.Reader
 	for i := range streams {
-		a, err := request(f.daemons[i].addr, "/v1/completions", body(tokens), nil)
+		resp, err := request(f.daemons[i].addr, "/v1/completions", completionBody(tokens), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer a.Body.Close()
-		streams[i] = bufio.NewReader(a.Body)
+		defer resp.Body.Close()
+		streams[i] = bufio.NewReader(resp.Body)
 	}
-	begun, last, _ := read(streams[0], 10)
+	head, lastID, _ := readEvents(streams[0], 10)
 	f.daemons[0].signal(syscall.SIGKILL)
-	lost, lastLost, done := read(streams[0], -1)
+	more, moreID, done := readEvents(streams[0], -1)
 	if done {
-		t.Error("the stream of the killed daemon ended as if it were whole")
+		t.Error("the stream of the killed daemon ended with the end marker")
 	}
-	if lastLost != "" {
-		begun, last = begun+lost, lastLost
+	if moreID != "" {
+		head, lastID = head+more, moreID
 	}
-	if other, _, done := read(streams[1], -1); !done || other != want {
+	if other, _, done := readEvents(streams[1], -1); !done || other != want {
 		t.Errorf("the other daemon's stream has end marker %v and %d characters, want %d", done, len(other), len(want))
 	}
-	if _, rest := f.complete(f.daemons[1], tokens, last); begun+rest != want {
-		t.Errorf("resumed at %s, the answer has %d characters, want %d", last, len(begun+rest), len(want))
+	if _, tail := f.complete(f.daemons[1], tokens, lastID); head+tail != want {
+		t.Errorf("resumed after event %s, the answer has %d characters, want %d", lastID, len(head+tail), len(want))
 	}
 }
 
-func TestTerminatedDaemonEndsItsStreamsAndExits(t *testing.T) {
+func TestTerminatedDaemonCompletesItsStreamsAndExits(t *testing.T) {
 	f := startFleet(t, 1, 1)
 	const tokens = 100
-	a, err := request(f.daemons[0].addr, "/v1/completions", body(tokens), nil)
+	resp, err := request(f.daemons[0].addr, "/v1/completions", completionBody(tokens), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
-	b := bufio.NewReader(a.Body)
-	read(b, 5)
+	defer resp.Body.Close()
+	b := bufio.NewReader(resp.Body)
+	readEvents(b, 5)
 	f.daemons[0].signal(syscall.SIGTERM)
-	if _, last, done := read(b, -1); !done || last != fmt.Sprint(tokens) {
-		t.Errorf("the stream ended at %s of %d, end marker %v", last, tokens, done)
+	if _, lastID, done := readEvents(b, -1); !done || lastID != fmt.Sprint(tokens) {
+		t.Errorf("the stream ended at event %s of %d, end marker %v", lastID, tokens, done)
 	}
 	if err := f.daemons[0].cmd.Wait(); err != nil {
 		t.Errorf("the daemon exited with %v", err)
 	}
 }
 
+// TestDaemonFrozenPastTheDeadlineDoesNotSend freezes a daemon while it handles an
+// unrepeatable call, until the deadline of the call has passed.
 func TestDaemonFrozenPastTheDeadlineDoesNotSend(t *testing.T) {
 	f := startFleet(t, 1, 1)
-	f.must(f.platform, "/control/fault", map[string]any{"delay": time.Second}, nil)
+	f.control(f.platform, "/control/fault", map[string]any{"delay": time.Second}, nil)
 	key := uuid.Must(uuid.NewV7()).String()
 	answered := make(chan string, 1)
 	go func() {
-		a, err := request(f.daemons[0].addr, "/v1/services/issue", "{}",
+		resp, err := request(f.daemons[0].addr, "/v1/services/issue", "{}",
 			map[string]string{"Idempotency-Key": key, "X-Deadline-Ms": "1500"})
 		if err != nil {
 			answered <- err.Error()
 			return
 		}
-		defer a.Body.Close()
-		b, _ := io.ReadAll(a.Body)
+		defer resp.Body.Close()
+		b, _ := io.ReadAll(resp.Body)
 		answered <- string(b)
 	}()
-	// The claim takes a second to be written. Wherever the freeze meets the
-	// call, it must not be sent once its time is over.
+	// The write of the claim takes one second. Whatever stage the call has reached
+	// when the daemon freezes, it must not be sent after its deadline.
 	<-time.After(300 * time.Millisecond)
 	f.daemons[0].signal(syscall.SIGSTOP)
 	<-time.After(2500 * time.Millisecond)
@@ -385,7 +401,7 @@
 	var c struct {
 		Counts map[string]int `json:"counts"`
 	}
-	f.must(f.runner, "/control/counts", nil, &c)
+	f.control(f.runner, "/control/counts", nil, &c)
 	if c.Counts[key] != 0 {
 		t.Errorf("the call ran %d times after its deadline", c.Counts[key])
 	}
--- a/cmd/slipcrankd/relay_test.go
+++ b/cmd/slipcrankd/relay_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// relay passes connections on to an address, until it is cut. While it is cut
-// it says nothing, as a link that has gone: connections stay open, and what is
-// sent waits. It is cut until it has an address to pass them to.
+// relay forwards TCP connections to an address. While it is cut it behaves like a
+// failed link: connections stay open, and bytes are held back without a reset. A
+// new relay is cut until forwardTo sets its address.
 type relay struct {
 	addr string
 
-	mu     sync.Mutex
-	more   sync.Cond
-	target string
-	cut    bool
-	done   bool
+	mu      sync.Mutex
+	changed sync.Cond
+	target  string
+	cut     bool
+	done    bool
 }
 
 func newRelay(t *testing.T) *relay {
@@ -26,10 +26,10 @@
 		t.Fatal(err)
 	}
 	r := &relay{addr: l.Addr().String(), cut: true}
-	r.more.L = &r.mu
+	r.changed.L = &r.mu
 	t.Cleanup(func() {
 		_ = l.Close()
-		r.set(func() { r.done = true })
+		r.update(func() { r.done = true })
 	})
 	go func() {
 		for {
@@ -37,37 +37,39 @@
 			if err != nil {
 				return
 			}
-			go r.pass(c)
+			go r.forward(c)
 		}
 	}()
 	return r
 }
 
-func (r *relay) set(f func()) {
+func (r *relay) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
-	r.more.Broadcast()
+	r.changed.Broadcast()
 }
 
-func (r *relay) cutOff(cut bool) { r.set(func() { r.cut = cut }) }
+func (r *relay) setCut(cut bool) { r.update(func() { r.cut = cut }) }
 
-// passTo tells the relay where to pass connections, and begins.
-func (r *relay) passTo(addr string) { r.set(func() { r.target, r.cut = addr, false }) }
+// forwardTo sets the address that connections are forwarded to and starts
+// forwarding.
+func (r *relay) forwardTo(addr string) { r.update(func() { r.target, r.cut = addr, false }) }
 
-// wait blocks while the relay is cut and reports whether the test goes on.
-func (r *relay) wait() bool {
+// waitUntilForwarding blocks while the relay is cut and reports false once the
+// test has ended.
+func (r *relay) waitUntilForwarding() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.cut && !r.done {
-		r.more.Wait()
+		r.changed.Wait()
 	}
 	return !r.done
 }
 
-func (r *relay) pass(from net.Conn) {
+func (r *relay) forward(from net.Conn) {
 	defer from.Close()
-	if !r.wait() {
+	if !r.waitUntilForwarding() {
 		return
 	}
 	to, err := net.Dial("tcp", r.target)
@@ -75,24 +77,24 @@
 		return
 	}
 	defer to.Close()
-	var w sync.WaitGroup
-	w.Go(func() { r.copy(to, from) })
-	w.Go(func() { r.copy(from, to) })
-	w.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { r.copyBytes(to, from) })
+	wg.Go(func() { r.copyBytes(from, to) })
+	wg.Wait()
 }
 
-func (r *relay) copy(to, from net.Conn) {
+func (r *relay) copyBytes(to, from net.Conn) {
 	defer to.Close()
 	defer from.Close()
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
-		if n > 0 && r.wait() {
+		if n > 0 && r.waitUntilForwarding() {
 			if _, err := to.Write(b[:n]); err != nil {
 				return
 			}
 		}
-		if err != nil || !r.wait() {
+		if err != nil || !r.waitUntilForwarding() {
 			return
 		}
 	}
