--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -33,7 +33,7 @@
 		},
 		run: func(ctx context.Context, c config) ([]Row, error) {
 			before := heap()
-			f, stop, err := startFleet(ctx, devel.WithDaemons(n), devel.WithEngines(int(enginesEach*float64(n))), devel.WithListed(fullDaemons+fullEngines))
+			f, stop, err := startFleet(ctx, devel.WithDaemons(n), devel.WithEngines(int(enginesEach*float64(n))), devel.WithHostListSize(fullDaemons+fullEngines))
 			if err != nil {
 				return nil, err
 			}
--- a/cmd/capacity/start.go
+++ b/cmd/capacity/start.go
@@ -57,7 +57,7 @@
 	started := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	f, err := devel.Start(ctx, devel.WithHalls("leon"), devel.WithDaemons(startDaemons), devel.WithEngines(1),
-		devel.WithListed(fullDaemons+fullEngines), devel.WithPlatform(platform.WithStore(s)))
+		devel.WithHostListSize(fullDaemons+fullEngines), devel.WithPlatform(platform.WithStore(s)))
 	if err != nil {
 		cancel()
 		return nil, nil, 0, 0, err
--- a/cmd/devel/deadly_test.go
+++ b/cmd/devel/deadly_test.go
@@ -24,13 +24,13 @@
 	for n := range f.Nodes {
 		all.Go(func() {
 			for i := n; ctx.Err() == nil; i++ {
-				post(t, f.Nodes[i%len(f.Nodes)].Callers(), "/v1/completions", "till", prompt(t, devel.Deadly, 3, true), nil)
+				post(t, f.Nodes[i%len(f.Nodes)].Callers(), "/v1/completions", "till", prompt(t, devel.DeadlyText, 3, true), nil)
 				_ = pause.For(ctx, 100*time.Millisecond) // ctx is looked at above
 			}
 		})
 	}
 	all.Wait()
-	if n := f.Ended(); n < 1 || n > most {
+	if n := f.EndedEngines(); n < 1 || n > most {
 		t.Errorf("%d of %d engines ended under one prompt, want 1 to %d", n, engines, most)
 	}
 	for i, node := range f.Nodes {
--- a/cmd/devel/devel.go
+++ b/cmd/devel/devel.go
@@ -45,8 +45,8 @@
 	operatorsPort = 90
 	platformPort  = 100
 
-	// Deadly is a text in a prompt that ends each engine which begins to run it.
-	Deadly = "ends the engine that runs it"
+	// DeadlyText is a text in a prompt that ends each engine which begins to run it.
+	DeadlyText = "ends the engine that runs it"
 
 	// oldPause is the time between two tokens of the old site.
 	oldPause = 15 * time.Millisecond
@@ -111,9 +111,9 @@
 // WithRunner sets options of the runner stand-ins.
 func WithRunner(os ...runner.Option) Option { return func(f *Fleet) { f.runner = os } }
 
-// WithListed adds hosts of another hall to the host list, up to n in all, as a
+// WithHostListSize adds hosts of another hall to the host list, up to n in all, as a
 // larger fleet would have.
-func WithListed(n int) Option { return func(f *Fleet) { f.extra = n } }
+func WithHostListSize(n int) Option { return func(f *Fleet) { f.extra = n } }
 
 // Start starts a fleet that runs until ctx ends, and seeds its templates.
 func Start(ctx context.Context, os ...Option) (*Fleet, error) {
@@ -206,7 +206,7 @@
 // deadly ends an engine that begins to run a prompt which says so.
 func (f *Fleet) deadly(kill func()) func(prompt string) bool {
 	return func(prompt string) bool {
-		if !strings.Contains(prompt, Deadly) {
+		if !strings.Contains(prompt, DeadlyText) {
 			return false
 		}
 		kill()
@@ -215,8 +215,8 @@
 	}
 }
 
-// Ended returns how many engines deadly prompts have ended.
-func (f *Fleet) Ended() int { return int(f.ended.Load()) }
+// EndedEngines returns how many engines deadly prompts have ended.
+func (f *Fleet) EndedEngines() int { return int(f.ended.Load()) }
 
 // KillEngine makes an engine die at once: its connections break.
 func (f *Fleet) KillEngine(i int) { f.kills[i]() }
