--- a/cmd/devel/callers_test.go
+++ b/cmd/devel/callers_test.go
@@ -36,21 +36,21 @@
 		status                int
 		kind                  fault.Kind
 	}{
-		"no such path":         {"/v2/x", "till", good, nil, 404, fault.NotFound},
-		"bad json":             {"/v1/completions", "till", "{", nil, 400, fault.BadRequest},
-		"no prompt":            {"/v1/completions", "till", `{"model":"voucher-7b"}`, nil, 400, fault.BadRequest},
-		"prompt of two":        {"/v1/completions", "till", `{"model":"voucher-7b","prompt":["a","b"]}`, nil, 400, fault.BadRequest},
-		"no messages":          {"/v1/chat/completions", "till", `{"model":"voucher-7b"}`, nil, 400, fault.BadRequest},
-		"negative answer":      {"/v1/completions", "till", `{"model":"voucher-7b","prompt":"x","max_tokens":-1}`, nil, 400, fault.BadRequest},
-		"unknown workspace":    {"/v1/completions", "nobody", good, nil, 401, fault.Unauthorized},
-		"unknown model":        {"/v1/completions", "till", `{"model":"other","prompt":"x"}`, nil, 404, fault.UnknownModel},
-		"body too large":       {"/v1/completions", "till", prompt(t, strings.Repeat("x", 8192), 2, false), nil, 413, fault.TooLarge},
-		"deadline over":        {"/v1/completions", "till", good, map[string]string{"X-Deadline-Ms": "0"}, 504, fault.DeadlineExpired},
-		"deadline no number":   {"/v1/completions", "till", good, map[string]string{"X-Deadline-Ms": "soon"}, 400, fault.BadRequest},
-		"bad resume":           {"/v1/completions", "till", good, map[string]string{"Last-Event-ID": "x"}, 400, fault.BadRequest},
-		"unknown service":      {"/v1/services/none", "till", "{}", nil, 404, fault.UnknownService},
-		"call without a key":   {"/v1/services/issue", "till", "{}", nil, 400, fault.KeyRequired},
-		"call with an old key": {"/v1/services/issue", "till", "{}", map[string]string{"Idempotency-Key": "018df1f6-0000-7000-8000-000000000000"}, 400, fault.KeyRequired},
+		"no such path":          {"/v2/x", "till", good, nil, 404, fault.NotFound},
+		"bad json":              {"/v1/completions", "till", "{", nil, 400, fault.BadRequest},
+		"no prompt":             {"/v1/completions", "till", `{"model":"voucher-7b"}`, nil, 400, fault.BadRequest},
+		"two prompts":           {"/v1/completions", "till", `{"model":"voucher-7b","prompt":["a","b"]}`, nil, 400, fault.BadRequest},
+		"no messages":           {"/v1/chat/completions", "till", `{"model":"voucher-7b"}`, nil, 400, fault.BadRequest},
+		"negative answer":       {"/v1/completions", "till", `{"model":"voucher-7b","prompt":"x","max_tokens":-1}`, nil, 400, fault.BadRequest},
+		"unknown workspace":     {"/v1/completions", "nobody", good, nil, 401, fault.Unauthorized},
+		"unknown model":         {"/v1/completions", "till", `{"model":"other","prompt":"x"}`, nil, 404, fault.UnknownModel},
+		"body too large":        {"/v1/completions", "till", prompt(t, strings.Repeat("x", 8192), 2, false), nil, 413, fault.TooLarge},
+		"deadline passed":       {"/v1/completions", "till", good, map[string]string{"X-Deadline-Ms": "0"}, 504, fault.DeadlineExpired},
+		"deadline not a number": {"/v1/completions", "till", good, map[string]string{"X-Deadline-Ms": "soon"}, 400, fault.BadRequest},
+		"bad resume":            {"/v1/completions", "till", good, map[string]string{"Last-Event-ID": "x"}, 400, fault.BadRequest},
+		"unknown service":       {"/v1/services/none", "till", "{}", nil, 404, fault.UnknownService},
+		"call without a key":    {"/v1/services/issue", "till", "{}", nil, 400, fault.KeyRequired},
+		"call with an old key":  {"/v1/services/issue", "till", "{}", map[string]string{"Idempotency-Key": "018df1f6-0000-7000-8000-000000000000"}, 400, fault.KeyRequired},
 	} {
 		t.Run(name, func(t *testing.T) {
 			status, body := post(t, f.Nodes[0].Callers(), tc.path, tc.workspace, tc.body, tc.header)
@@ -64,31 +64,32 @@
 		})
 	}
 	if status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "till", good, nil); status != http.StatusOK {
-		t.Errorf("after the bad requests a good one got %d %s", status, body)
+		t.Errorf("after the bad requests a valid one got %d %s", status, body)
 	}
 }
 
-// open starts a stream and reads its first event.
-func open(t *testing.T, ctx context.Context, addr, workspace, body string) (*http.Response, *bufio.Reader) {
+// openStream starts a stream and reads its first line.
+func openStream(t *testing.T, ctx context.Context, addr, workspace, body string) (*http.Response, *bufio.Reader) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Header.Set("Authorization", "Bearer "+devel.Credential(workspace))
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = a.Body.Close() })
-	b := bufio.NewReader(a.Body)
+	t.Cleanup(func() { _ = resp.Body.Close() })
+	b := bufio.NewReader(resp.Body)
 	if _, err := b.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	return a, b
+	return resp, b
 }
 
-func used(f *devel.Fleet) int {
+// usedTokens returns the number of tokens of memory in use on all engines.
+func usedTokens(f *devel.Fleet) int {
 	n := 0
 	for _, e := range f.Engines {
 		n += e.Used()
@@ -96,26 +97,26 @@
 	return n
 }
 
-func TestCallerThatGoesFreesTheEngine(t *testing.T) {
+func TestDisconnectedCallerFreesEngineMemory(t *testing.T) {
 	p := engine.DefaultParams()
 	p.StepBase = 50 * time.Millisecond
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(1), devel.WithEngines(1), devel.WithParams(p))
 	ctx, cancel := context.WithCancel(context.Background())
-	open(t, ctx, f.Nodes[0].Callers(), "till", prompt(t, "a long answer", 20_000, true))
-	if used(f) == 0 {
-		t.Fatal("the engine holds no memory for the stream")
+	openStream(t, ctx, f.Nodes[0].Callers(), "till", prompt(t, "a long answer", 20_000, true))
+	if usedTokens(f) == 0 {
+		t.Fatal("the engine uses no memory for the stream")
 	}
 	cancel()
-	eventually(t, "the engine's memory is free", func() bool { return used(f) == 0 })
+	eventually(t, "the engine's memory is free", func() bool { return usedTokens(f) == 0 })
 }
 
-func TestPlannedStopCutsOffNothing(t *testing.T) {
+func TestGracefulStopCompletesStreams(t *testing.T) {
 	p := engine.DefaultParams()
 	p.StepBase = 10 * time.Millisecond
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(2), devel.WithEngines(1), devel.WithParams(p))
 	stopping, other := f.Nodes[0], f.Nodes[1]
 	const tokens = 120
-	_, b := open(t, context.Background(), stopping.Callers(), "till", prompt(t, "stop", tokens, true))
+	_, b := openStream(t, context.Background(), stopping.Callers(), "till", prompt(t, "stop", tokens, true))
 	stopped := make(chan error, 1)
 	go func() { stopped <- stopping.Stop(context.Background()) }()
 	eventually(t, "the stopping daemon is not ready", func() bool {
@@ -144,6 +145,6 @@
 		t.Errorf("the stream in progress got %d of %d tokens, end marker %v", got, tokens, done)
 	}
 	if err := <-stopped; err != nil {
-		t.Errorf("the stop ended with %v", err)
+		t.Errorf("stop the daemon: %v", err)
 	}
 }
--- a/cmd/devel/cut_test.go
+++ b/cmd/devel/cut_test.go
@@ -19,8 +19,8 @@
 	"slipcrank.example/standin/platform"
 )
 
-// halls returns which hall each daemon is in.
-func halls(f *devel.Fleet) map[string]string {
+// hallsByDaemon returns the hall of each daemon by its peer address.
+func hallsByDaemon(f *devel.Fleet) map[string]string {
 	out := map[string]string{}
 	for _, n := range f.Nodes {
 		out[n.Peers()] = n.Loop().View().Self.Hall
@@ -28,7 +28,8 @@
 	return out
 }
 
-func alive(n *node.Node) int {
+// aliveCount returns the number of daemons that n sees alive, itself included.
+func aliveCount(n *node.Node) int {
 	count := 0
 	for _, m := range n.Loop().View().Members {
 		if m.Status == member.Alive {
@@ -38,19 +39,19 @@
 	return count
 }
 
-func TestHallsCutFromEachOtherServeAndHeal(t *testing.T) {
-	var cut atomic.Bool
-	var where atomic.Pointer[map[string]string]
+func TestDisconnectedHallsServeAndReconnect(t *testing.T) {
+	var disconnected atomic.Bool
+	var hallOf atomic.Pointer[map[string]string]
 	f := start(t, devel.WithDaemons(2), devel.WithEngines(2), devel.WithReach(func(from, to string) bool {
-		w := where.Load()
-		return !cut.Load() || w == nil || (*w)[from] == (*w)[to]
+		w := hallOf.Load()
+		return !disconnected.Load() || w == nil || (*w)[from] == (*w)[to]
 	}))
-	w := halls(f)
-	where.Store(&w)
-	cut.Store(true)
-	eventually(t, "each hall sees the other gone", func() bool {
+	w := hallsByDaemon(f)
+	hallOf.Store(&w)
+	disconnected.Store(true)
+	eventually(t, "no daemon sees those of the other hall alive", func() bool {
 		for _, n := range f.Nodes {
-			if alive(n) != 2 {
+			if aliveCount(n) != 2 {
 				return false
 			}
 		}
@@ -58,13 +59,13 @@
 	})
 	for i, n := range f.Nodes {
 		if status, body := post(t, n.Callers(), "/v1/completions", "till", prompt(t, "go on", 2, false), nil); status != http.StatusOK {
-			t.Errorf("cut off, daemon %d answered %d %s", i, status, body)
+			t.Errorf("while the halls are disconnected, daemon %d answered %d %s", i, status, body)
 		}
 	}
-	cut.Store(false)
-	eventually(t, "all see each other again", func() bool {
+	disconnected.Store(false)
+	eventually(t, "all daemons see each other again", func() bool {
 		for _, n := range f.Nodes {
-			if alive(n) != len(f.Nodes) {
+			if aliveCount(n) != len(f.Nodes) {
 				return false
 			}
 		}
@@ -72,9 +73,10 @@
 	})
 }
 
-// TestTemplatesWithoutThePlatform: a hall that can't read the platform gets a
-// change from daemons, and a new daemon starts from one.
-func TestTemplatesWithoutThePlatform(t *testing.T) {
+// TestTemplateChangeSpreadsWhilePlatformIsDown checks that daemons which can't read
+// the platform get a template change from other daemons, and that a new daemon
+// starts with the templates of another one.
+func TestTemplateChangeSpreadsWhilePlatformIsDown(t *testing.T) {
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(3), devel.WithEngines(1))
 	now, _ := f.Nodes[0].Loop().View().Book.Template("till")
 	c, err := changes.New(f.Platform.Raw()).Apply(context.Background(), "x", now.WithUrgency(template.Review), now.Version)
@@ -89,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a new daemon and all others have the change while the platform is down", func() bool {
+	eventually(t, "all daemons, the new one included, have the change while the platform is down", func() bool {
 		for _, n := range f.Nodes {
 			if n.Loop().View().Book.Number() < c.Number {
 				return false
@@ -103,22 +105,22 @@
 	})
 	_, body := post(t, fresh.Callers(), "/v1/services/issue", "till", "{}",
 		map[string]string{"Idempotency-Key": uuid.Must(uuid.NewV7()).String()})
-	if kindOf(t, body) != fault.Undecided {
+	if errorKind(t, body) != fault.Undecided {
 		t.Errorf("an unrepeatable call got %s while the platform is down", body)
 	}
 }
 
-// TestEngineThatGoesGetsNoWork covers each way in which it can become known
-// that an engine leaves or is dead. The bound of the promise is 3 s; the test
-// measures it on the run's own clock and leaves room for a busy machine.
-func TestEngineThatGoesGetsNoWork(t *testing.T) {
+// TestLeavingEngineGetsNoRequests covers each way in which daemons can learn that
+// an engine leaves. The guaranteed bound is 3 s. The test logs the measured time
+// and waits longer, since the host may be under load.
+func TestLeavingEngineGetsNoRequests(t *testing.T) {
 	for name, tc := range map[string]struct {
 		down  bool // the platform
 		leave func(f *devel.Fleet)
 	}{
-		"its own word":                {false, func(f *devel.Fleet) { f.Engines[0].Leave() }},
-		"its own word, platform down": {true, func(f *devel.Fleet) { f.Engines[0].Leave() }},
-		"the host list": {false, func(f *devel.Fleet) {
+		"engine reports it":                {false, func(f *devel.Fleet) { f.Engines[0].Leave() }},
+		"engine reports it, platform down": {true, func(f *devel.Fleet) { f.Engines[0].Leave() }},
+		"host list says so": {false, func(f *devel.Fleet) {
 			hs := append([]hosts.Host(nil), f.Hosts()...)
 			for i := range hs {
 				if hs[i].Addr == f.EngineAddrs[0] {
@@ -133,7 +135,7 @@
 			f.Platform.SetFault(platform.Fault{Down: tc.down})
 			tc.leave(f)
 			started := time.Now()
-			quiet := func() bool { // no daemon would place anything there
+			removed := func() bool { // no daemon would place a request on the engine
 				for _, n := range f.Nodes {
 					if n.Loop().View().Home(devel.Model, devel.Version).Len() != 1 {
 						return false
@@ -141,8 +143,8 @@
 				}
 				return true
 			}
-			eventually(t, "no daemon gives the engine work", quiet)
-			t.Logf("known to all after %v", time.Since(started).Round(10*time.Millisecond))
+			eventually(t, "no daemon places requests on the engine", removed)
+			t.Logf("known to all daemons after %v", time.Since(started).Round(10*time.Millisecond))
 			before := f.Engines[0].Totals().Started
 			for range 20 {
 				for _, n := range f.Nodes {
@@ -152,7 +154,7 @@
 				}
 			}
 			if after := f.Engines[0].Totals().Started; after != before {
-				t.Errorf("the engine got %d more requests", after-before)
+				t.Errorf("the leaving engine got %d more requests", after-before)
 			}
 		})
 	}
--- a/cmd/devel/devel_test.go
+++ b/cmd/devel/devel_test.go
@@ -13,14 +13,14 @@
 	"slipcrank.example/core/fault"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // start starts a fleet and waits until it is ready.
-func start(t *testing.T, os ...devel.Option) *devel.Fleet {
+func start(t *testing.T, opts ...devel.Option) *devel.Fleet {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	f, err := devel.Start(ctx, os...)
+	f, err := devel.Start(ctx, opts...)
 	if err != nil {
 		t.Fatalf("start fleet: %v", err)
 	}
@@ -28,22 +28,23 @@
 	return f
 }
 
-// eventually waits for a condition, with a wide bound.
-func eventually(t *testing.T, what string, f func() bool) {
+// eventually waits until ok is true, and ends the test after waitTimeout. condition
+// describes what is waited for.
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	tick := time.NewTicker(10 * time.Millisecond)
-	defer tick.Stop()
-	limit := time.After(patience)
-	for !f() {
+	ticker := time.NewTicker(10 * time.Millisecond)
+	defer ticker.Stop()
+	timeout := time.After(waitTimeout)
+	for !ok() {
 		select {
-		case <-tick.C:
-		case <-limit:
-			t.Fatalf("not within %v: %s", patience, what)
+		case <-ticker.C:
+		case <-timeout:
+			t.Fatalf("not within %v: %s", waitTimeout, condition)
 		}
 	}
 }
 
-// post sends a request as a workspace and returns status and body.
+// post sends a request as a workspace and returns the status and body of the answer.
 func post(t *testing.T, addr, path, workspace, body string, header map[string]string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+addr+path, strings.NewReader(body))
@@ -54,18 +55,19 @@
 	for k, v := range header {
 		r.Header.Set(k, v)
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatalf("post %s: %v", path, err)
 	}
-	defer a.Body.Close()
-	b, err := io.ReadAll(a.Body)
+	defer resp.Body.Close()
+	b, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatalf("read answer to %s: %v", path, err)
 	}
-	return a.StatusCode, string(b)
+	return resp.StatusCode, string(b)
 }
 
+// prompt returns the body of a completion request.
 func prompt(t *testing.T, text string, maxTokens int, stream bool) string {
 	t.Helper()
 	b, err := json.Marshal(map[string]any{"model": devel.Model, "prompt": text, "max_tokens": maxTokens, "stream": stream})
@@ -89,8 +91,8 @@
 	}
 }
 
-// kindOf returns the kind of an error answer.
-func kindOf(t *testing.T, body string) fault.Kind {
+// errorKind returns the kind of an error answer.
+func errorKind(t *testing.T, body string) fault.Kind {
 	t.Helper()
 	var e errorAnswer
 	if err := json.Unmarshal([]byte(body), &e); err != nil {
--- a/cmd/devel/large_test.go
+++ b/cmd/devel/large_test.go
@@ -16,7 +16,8 @@
 	"slipcrank.example/standin/engine"
 )
 
-// smallEngines have little memory, so that small prompts are too large for one.
+// smallEngines returns parameters of engines with so little memory that short
+// prompts exceed one engine.
 func smallEngines() engine.Params {
 	p := engine.DefaultParams()
 	p.KVTokens = 4000
@@ -24,70 +25,71 @@
 	return p
 }
 
-func tokens(n int) string { return strings.Repeat("a", n*prefix.BytesPerToken) }
+// textOfTokens returns a text of n tokens.
+func textOfTokens(n int) string { return strings.Repeat("a", n*prefix.BytesPerToken) }
 
-func TestPromptLargerThanAnEngine(t *testing.T) {
+func TestPromptLargerThanOneEngine(t *testing.T) {
 	for name, tc := range map[string]struct {
 		tokens, status int
 	}{
-		"fits one":                {1000, http.StatusOK},
-		"needs two and a half":    {10_000, http.StatusOK},
-		"needs nearly all":        {14_000, http.StatusOK},
-		"needs what is kept free": {15_500, http.StatusRequestEntityTooLarge},
-		"needs more than all can": {20_000, http.StatusRequestEntityTooLarge},
+		"fits one engine":                  {1000, http.StatusOK},
+		"needs two and a half engines":     {10_000, http.StatusOK},
+		"needs nearly all engines":         {14_000, http.StatusOK},
+		"needs memory that is kept free":   {15_500, http.StatusRequestEntityTooLarge},
+		"needs more than all engines have": {20_000, http.StatusRequestEntityTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(2), devel.WithEngines(4), devel.WithParams(smallEngines()))
-			status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "ledgers", prompt(t, tokens(tc.tokens), 3, true), nil)
+			status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "ledgers", prompt(t, textOfTokens(tc.tokens), 3, true), nil)
 			if status != tc.status {
 				t.Fatalf("status %d, want %d: %.200s", status, tc.status, body)
 			}
 			if tc.status == http.StatusOK && !strings.HasSuffix(body, "data: [DONE]\n\n") {
-				t.Errorf("the answer is not whole: %q", body)
+				t.Errorf("the answer has no end marker: %q", body)
 			}
-			eventually(t, "all memory is free again", func() bool { return used(f) == 0 })
+			eventually(t, "all memory is free again", func() bool { return usedTokens(f) == 0 })
 		})
 	}
 }
 
-func TestLargePromptsFightWithoutLosingMemory(t *testing.T) {
+func TestConcurrentLargePromptsAreServedAndFreeMemory(t *testing.T) {
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(3), devel.WithEngines(4), devel.WithParams(smallEngines()))
 	const each = 4
 	results := make(chan int, len(f.Nodes)*each)
 	for _, n := range f.Nodes {
 		for range each {
 			go func() {
-				status, _ := post(t, n.Callers(), "/v1/completions", "ledgers", prompt(t, tokens(9000), 3, false), nil)
+				status, _ := post(t, n.Callers(), "/v1/completions", "ledgers", prompt(t, textOfTokens(9000), 3, false), nil)
 				results <- status
 			}()
 		}
 	}
 	for range len(f.Nodes) * each {
 		if s := <-results; s != http.StatusOK {
-			t.Errorf("a large prompt that had time left ended with status %d", s)
+			t.Errorf("a large prompt with time left got status %d", s)
 		}
 	}
-	eventually(t, "all memory is free again", func() bool { return used(f) == 0 })
+	eventually(t, "all memory is free again", func() bool { return usedTokens(f) == 0 })
 }
 
-// TestGroupGetsItsMemoryBesideSteadyTraffic has requests that fit an engine
-// take all memory again as soon as any is free, while a larger one waits.
+// TestGroupGetsItsMemoryBesideSteadyTraffic sends a prompt that needs a group while
+// requests that fit one engine use all memory again as soon as any is freed.
 func TestGroupGetsItsMemoryBesideSteadyTraffic(t *testing.T) {
 	p := smallEngines()
 	p.StepBase = 20 * time.Millisecond
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(2), devel.WithEngines(4), devel.WithParams(p))
 	stop := make(chan struct{})
-	var w sync.WaitGroup
+	var wg sync.WaitGroup
 	var served atomic.Int64
-	for i := range 24 { // they would use 22,000 of 16,000 tokens
-		w.Go(func() {
+	for i := range 24 { // together they would use 22,000 of 16,000 tokens
+		wg.Go(func() {
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				status, body := post(t, f.Nodes[i%2].Callers(), "/v1/completions", "captions", prompt(t, tokens(900), 40, false), nil)
+				status, body := post(t, f.Nodes[i%2].Callers(), "/v1/completions", "captions", prompt(t, textOfTokens(900), 40, false), nil)
 				if status != http.StatusOK {
 					t.Errorf("a request that fits an engine got %d %.200s", status, body)
 				}
@@ -95,57 +97,59 @@
 			}
 		})
 	}
-	eventually(t, "most memory is in use", func() bool { return used(f) > 13_000 })
+	eventually(t, "most memory is in use", func() bool { return usedTokens(f) > 13_000 })
 	started := time.Now()
-	status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "ledgers", prompt(t, tokens(9000), 3, false),
+	status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "ledgers", prompt(t, textOfTokens(9000), 3, false),
 		map[string]string{"X-Deadline-Ms": "30000"})
 	if status != http.StatusOK {
 		t.Errorf("the large prompt got %d %.200s", status, body)
 	}
-	t.Logf("the large prompt took %v of its 30 s, beside %d others", time.Since(started).Round(100*time.Millisecond), served.Load())
+	t.Logf("the large prompt took %v of its 30 s; %d small requests were served meanwhile", time.Since(started).Round(100*time.Millisecond), served.Load())
 	close(stop)
-	w.Wait()
-	eventually(t, "all memory is free again", func() bool { return used(f) == 0 })
+	wg.Wait()
+	eventually(t, "all memory is free again", func() bool { return usedTokens(f) == 0 })
 }
 
-// TestRequestWaitsForAGroupForAPartOfItsTimeOnly has a group wait for memory
-// that long streams keep, while there is room enough for a request.
-func TestRequestWaitsForAGroupForAPartOfItsTimeOnly(t *testing.T) {
+// TestRequestIsNotBlockedByGroupUntilItsDeadline has a group wait for memory that
+// long streams use. The free memory, which is reserved for the group, suffices for
+// a small request. That request may be delayed by the group, but must be served
+// before its deadline.
+func TestRequestIsNotBlockedByGroupUntilItsDeadline(t *testing.T) {
 	p := smallEngines()
 	p.StepBase = 50 * time.Millisecond
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(1), devel.WithEngines(4), devel.WithParams(p))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for range 4 {
-		open(t, ctx, f.Nodes[0].Callers(), "captions", prompt(t, tokens(800), 1100, true))
+		openStream(t, ctx, f.Nodes[0].Callers(), "captions", prompt(t, textOfTokens(800), 1100, true))
 	}
-	eventually(t, "the streams run", func() bool { return used(f) >= 4*1900 })
+	eventually(t, "the streams run", func() bool { return usedTokens(f) >= 4*1900 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		post(t, f.Nodes[0].Callers(), "/v1/completions", "ledgers", prompt(t, tokens(13_000), 3, false), map[string]string{"X-Deadline-Ms": "12000"})
+		post(t, f.Nodes[0].Callers(), "/v1/completions", "ledgers", prompt(t, textOfTokens(13_000), 3, false), map[string]string{"X-Deadline-Ms": "12000"})
 	}()
-	ask := route.Prompt{Model: devel.Model, Version: devel.Version, Tokens: 900, MaxTokens: 3}
-	eventually(t, "all memory is kept for the group", func() bool {
-		ask.Deadline = time.Now().Add(4 * time.Second)
-		ask.Priority = ask.Deadline.UnixMilli()
-		os := f.Nodes[0].Loop().Offers(ctx, ask)
+	small := route.Prompt{Model: devel.Model, Version: devel.Version, Tokens: 900, MaxTokens: 3}
+	eventually(t, "all engines are blocked by the group", func() bool {
+		small.Deadline = time.Now().Add(4 * time.Second)
+		small.Priority = small.Deadline.UnixMilli()
+		os := f.Nodes[0].Loop().Offers(ctx, small)
 		return len(os) == 4 && !slices.ContainsFunc(os, func(o route.Offer) bool { return !o.BlockedByGroup })
 	})
-	status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "manuscripts", prompt(t, tokens(900), 3, false), map[string]string{"X-Deadline-Ms": "4000"})
+	status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "manuscripts", prompt(t, textOfTokens(900), 3, false), map[string]string{"X-Deadline-Ms": "4000"})
 	if status != http.StatusOK {
-		t.Errorf("with room for it, a request got %d %.200s", status, body)
+		t.Errorf("a request that fits the free memory got %d %.200s", status, body)
 	}
 	<-done
 }
 
-func TestLargePromptOfACallerThatGoesFreesTheGroup(t *testing.T) {
+func TestDisconnectedCallerFreesGroupMemory(t *testing.T) {
 	p := smallEngines()
 	p.StepBase = 50 * time.Millisecond
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(1), devel.WithEngines(4), devel.WithParams(p))
 	ctx, cancel := context.WithCancel(context.Background())
-	open(t, ctx, f.Nodes[0].Callers(), "ledgers", prompt(t, tokens(9000), 500, true))
-	eventually(t, "a group is held", func() bool { return used(f) >= 9000 })
+	openStream(t, ctx, f.Nodes[0].Callers(), "ledgers", prompt(t, textOfTokens(9000), 500, true))
+	eventually(t, "a group uses memory", func() bool { return usedTokens(f) >= 9000 })
 	cancel()
-	eventually(t, "the group is free again", func() bool { return used(f) == 0 })
+	eventually(t, "the group's memory is free again", func() bool { return usedTokens(f) == 0 })
 }
--- a/cmd/devel/main_test.go
+++ b/cmd/devel/main_test.go
@@ -8,7 +8,7 @@
 	"k8s.io/klog/v2"
 )
 
-// TestMain keeps the daemons' logs out of the tests' output.
+// TestMain discards the daemons' logs.
 func TestMain(m *testing.M) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
--- a/cmd/devel/once_test.go
+++ b/cmd/devel/once_test.go
@@ -16,59 +16,59 @@
 	"slipcrank.example/standin/runner"
 )
 
-// faults draws what each request to the platform meets, from a seed.
-type faults struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	on     bool
+// platformFaults draws a fault for each request to the platform from a seed.
+type platformFaults struct {
+	mu      sync.Mutex
+	rnd     *rand.Rand
+	enabled bool
 }
 
-func (f *faults) draw(op string) platform.Fault {
+func (f *platformFaults) draw(op string) platform.Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.on || (op != "commit" && op != "read") {
+	if !f.enabled || (op != "commit" && op != "read") {
 		return platform.Fault{}
 	}
-	switch x := f.random.Float64(); {
+	switch x := f.rnd.Float64(); {
 	case x < 0.25:
 		return platform.Fault{LoseAnswer: true}
 	case x < 0.35:
 		return platform.Fault{Down: true}
 	case x < 0.5:
-		return platform.Fault{Delay: time.Duration(f.random.IntN(20)) * time.Millisecond}
+		return platform.Fault{Delay: time.Duration(f.rnd.IntN(20)) * time.Millisecond}
 	default:
 		return platform.Fault{}
 	}
 }
 
-func (f *faults) start() {
+func (f *platformFaults) start() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.on = true
+	f.enabled = true
 }
 
-func TestCallRunsAtMostOnceThroughSixDaemons(t *testing.T) {
-	const keys, asks = 40, 2
-	x := &faults{random: rand.New(rand.NewPCG(7, 7))}
+func TestCallRunsAtMostOnceAcrossSixDaemons(t *testing.T) {
+	const keys, repeats = 40, 2
+	faults := &platformFaults{rnd: rand.New(rand.NewPCG(7, 7))}
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(6), devel.WithEngines(1),
-		devel.WithPlatform(platform.WithFault(x.draw)),
+		devel.WithPlatform(platform.WithFault(faults.draw)),
 		devel.WithRunner(
 			runner.WithDelay(func(key string) time.Duration { return time.Duration(key[35]%4) * 5 * time.Millisecond }),
 			runner.WithClose(func(key string) bool { return key[34]%8 == 0 }),
 		))
-	x.start()
-	type seen struct {
+	faults.start()
+	type result struct {
 		key  string
-		kind fault.Kind // "" for an answer
+		kind fault.Kind // "" for a successful answer
 	}
 	var mu sync.Mutex
-	var all []seen
-	var w sync.WaitGroup
+	var results []result
+	var wg sync.WaitGroup
 	for range keys {
 		key := uuid.Must(uuid.NewV7()).String()
 		for _, n := range f.Nodes {
-			for range asks {
-				w.Go(func() {
+			for range repeats {
+				wg.Go(func() {
 					status, body := post(t, n.Callers(), "/v1/services/issue", "till", `{"voucher":1}`,
 						map[string]string{"Idempotency-Key": key, "X-Deadline-Ms": "3000"})
 					var e errorAnswer
@@ -78,16 +78,16 @@
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					all = append(all, seen{key, e.Error.Kind})
+					results = append(results, result{key, e.Error.Kind})
 				})
 			}
 		}
 	}
-	w.Wait()
-	tally := map[fault.Kind]int{}
-	for _, s := range all {
+	wg.Wait()
+	counts := map[fault.Kind]int{}
+	for _, s := range results {
 		n := f.Runners[0].Count(s.key)
-		tally[s.kind]++
+		counts[s.kind]++
 		if n > 1 {
 			t.Errorf("key %s ran %d times", s.key, n)
 		}
@@ -95,18 +95,18 @@
 			t.Errorf("key %s was answered but ran %d times", s.key, n)
 		}
 		if s.kind == fault.NotRun && n != 0 {
-			t.Errorf("key %s was said not to have run but ran", s.key)
+			t.Errorf("key %s was answered with not_run but ran", s.key)
 		}
 	}
-	t.Logf("%d answers by kind: %v", len(all), tally)
-	if tally[""] == 0 {
-		t.Error("no call was answered at all, so nothing was tested")
+	t.Logf("%d answers by kind: %v", len(results), counts)
+	if counts[""] == 0 {
+		t.Error("no call succeeded, so the test is void")
 	}
 }
 
-func TestNotRunIsTrueWhenNoServiceCanBeReached(t *testing.T) {
+func TestNotRunIsFinalWhenServiceHasNoHost(t *testing.T) {
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(2), devel.WithEngines(1))
-	f.Platform.SetHosts(nil) // the service has gone from the list
+	f.Platform.SetHosts(nil) // the list no longer has a host of the service
 	eventually(t, "no daemon knows a host of the service", func() bool {
 		return len(f.Nodes[0].Loop().View().Hosts("vouchers")) == 0 && len(f.Nodes[1].Loop().View().Hosts("vouchers")) == 0
 	})
@@ -115,10 +115,10 @@
 		_, body := post(t, n.Callers(), "/v1/services/issue", "till", "{}", key)
 		var e errorAnswer
 		if err := json.Unmarshal([]byte(body), &e); err != nil || e.Error.Kind != fault.NotRun {
-			t.Fatalf("daemon %d said %s, want not_run", i, body)
+			t.Fatalf("daemon %d answered %s, want not_run", i, body)
 		}
 	}
-	f.Platform.SetHosts(f.Hosts()) // it is back, and the key must stay void
+	f.Platform.SetHosts(f.Hosts()) // the service is listed again; the claim of the key must stay void
 	eventually(t, "the service is known again", func() bool { return len(f.Nodes[1].Loop().View().Hosts("vouchers")) == 1 })
 	_, body := post(t, f.Nodes[1].Callers(), "/v1/services/issue", "till", "{}", key)
 	var e errorAnswer
@@ -126,7 +126,7 @@
 		t.Errorf("a repeat got %s, want not_run", body)
 	}
 	if n := f.Runners[0].Count(key["Idempotency-Key"]); n != 0 {
-		t.Errorf("a call that was not run ran %d times", n)
+		t.Errorf("a call that was answered with not_run ran %d times", n)
 	}
 }
 
--- a/cmd/devel/owner_test.go
+++ b/cmd/devel/owner_test.go
@@ -11,12 +11,14 @@
 	"slipcrank.example/daemon/settings"
 )
 
-// TestNewOwnerLeavesNoGap takes the owner of the only engine away, by a planned
-// stop or at once, and asks the other daemon, which polls its engines seldom.
-func TestNewOwnerLeavesNoGap(t *testing.T) {
-	for name, leave := range map[string]func(*node.Node) error{
-		"planned stop": func(n *node.Node) error { return n.Stop(context.Background()) },
-		"death":        func(n *node.Node) error { n.Close(); return nil },
+// TestRequestsAreServedWhileEngineOwnerChanges ends the owner of the only engine,
+// gracefully or at once, and sends requests to the other daemon until it owns the
+// engine. The poll period is so long that the new owner has to use the engine before
+// its next regular poll.
+func TestRequestsAreServedWhileEngineOwnerChanges(t *testing.T) {
+	for name, end := range map[string]func(*node.Node) error{
+		"graceful stop": func(n *node.Node) error { return n.Stop(context.Background()) },
+		"crash":         func(n *node.Node) error { n.Close(); return nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(2), devel.WithEngines(1),
@@ -28,13 +30,13 @@
 			if other.Loop().View().Owner(f.EngineAddrs[0]) == other.Peers() {
 				owner, other = other, owner
 			}
-			if err := leave(owner); err != nil {
+			if err := end(owner); err != nil {
 				t.Fatal(err)
 			}
 			moved := func() bool { return other.Loop().View().Owner(f.EngineAddrs[0]) == other.Peers() }
-			for after := 0; after < 5; { // asks once the other owns the engine
+			for answered := 0; answered < 5; { // number of requests sent since the other daemon owns the engine
 				if moved() {
-					after++
+					answered++
 				}
 				if status, body := post(t, other.Callers(), "/v1/completions", "till", prompt(t, "go on", 1, false), nil); status != http.StatusOK {
 					t.Fatalf("the other daemon answered %d %s; it owns the engine: %v", status, body, moved())
--- a/cmd/devel/placement_test.go
+++ b/cmd/devel/placement_test.go
@@ -16,9 +16,9 @@
 	standin "slipcrank.example/standin/engine"
 )
 
-// TestVersionChangeServesThroughout changes the model's version in every
-// template; the engines are ordered to load the new one, then to drop the old
-// one, and requests are served all the time.
+// TestVersionChangeServesThroughout changes the model's version in every template.
+// The engines are ordered to load the new version and then to unload the old one.
+// Requests must be served throughout.
 func TestVersionChangeServesThroughout(t *testing.T) {
 	p := standin.DefaultParams()
 	p.LoadTime = 0
@@ -30,14 +30,14 @@
 	log := changes.New(f.Platform.Raw())
 	for _, x := range devel.Templates() {
 		next := x.WithModels(template.Model{Name: devel.Model, Version: "2"})
-		if x.Workspace == "till" { // the till stays on the old one for now
+		if x.Workspace == "till" { // till stays on the old version for now
 			continue
 		}
 		if _, err := log.Apply(context.Background(), "v2-"+x.Workspace, next, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	ask := func(workspace string) bool {
+	served := func(workspace string) bool {
 		for _, n := range f.Nodes {
 			if status, _ := post(t, n.Callers(), "/v1/completions", workspace, prompt(t, "hello", 1, false), nil); status != http.StatusOK {
 				return false
@@ -46,10 +46,10 @@
 		return true
 	}
 	eventually(t, "the new version is loaded and served", func() bool {
-		if !ask("till") {
+		if !served("till") {
 			t.Fatal("a workspace on the old version is not served while the new one is loaded")
 		}
-		return ask("captions")
+		return served("captions")
 	})
 	till, _ := f.Nodes[0].Loop().View().Book.Template("till")
 	if _, err := log.Apply(context.Background(), "v2-till", till.WithModels(template.Model{Name: devel.Model, Version: "2"}), till.Version); err != nil {
@@ -63,14 +63,14 @@
 				}
 			}
 		}
-		return ask("till")
+		return served("till")
 	})
 }
 
-func TestOldFenceIsRefused(t *testing.T) {
+func TestOrderWithOldFenceIsRefused(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for name, checks := range map[string]bool{"an engine that checks": true, "one that does not": false} {
+	for name, checks := range map[string]bool{"engine checks fences": true, "engine does not check fences": false} {
 		t.Run(name, func(t *testing.T) {
 			p := standin.DefaultParams()
 			p.ChecksFence = checks
@@ -87,7 +87,7 @@
 			}
 			err = order(6)
 			if refused := err != nil; refused != checks {
-				t.Errorf("an order with an old fence gave %v", err)
+				t.Errorf("an order with an old fence gave error %v", err)
 			}
 			if checks && !strings.Contains(err.Error(), "412") {
 				t.Errorf("got %v, want the refusal of the fence", err)
@@ -96,8 +96,9 @@
 	}
 }
 
-// TestPlacementFollowsDemand has four models, of which callers ask for one; it
-// gets most engines, and each of the others keeps one.
+// TestPlacementFollowsDemand has four models, of which callers request only one.
+// That model must be loaded on three engines in the end, and each model must have an
+// engine.
 func TestPlacementFollowsDemand(t *testing.T) {
 	p := standin.DefaultParams()
 	p.LoadTime = 0
@@ -125,12 +126,12 @@
 	}
 	eventually(t, "each model has an engine", func() bool { return len(copies()) == len(models) })
 	busy := devel.Templates()[3].Workspace // of model d, which started with no engine
-	body := strings.Replace(prompt(t, tokens(2000), 1, false), devel.Model, models[3], 1)
+	body := strings.Replace(prompt(t, textOfTokens(2000), 1, false), devel.Model, models[3], 1)
 	eventually(t, "the daemons know the model's engine", func() bool {
 		status, _ := post(t, f.Nodes[1].Callers(), "/v1/completions", busy, body, nil)
 		return status == http.StatusOK
 	})
-	wide := func() bool {
+	scaledUp := func() bool {
 		for range 10 {
 			if status, answer := post(t, f.Nodes[1].Callers(), "/v1/completions", busy, body, nil); status != http.StatusOK {
 				t.Fatalf("status %d %s", status, answer)
@@ -138,7 +139,7 @@
 		}
 		return copies()[models[3]] >= 3
 	}
-	eventually(t, "the model that is asked for is on three engines", wide)
+	eventually(t, "the requested model is on three engines", scaledUp)
 	for _, m := range models {
 		if copies()[m] == 0 {
 			t.Errorf("model %s has no engine: %v", m, copies())
--- a/cmd/devel/third_test.go
+++ b/cmd/devel/third_test.go
@@ -11,22 +11,23 @@
 	"slipcrank.example/cmd/devel"
 )
 
-// TestAThirdDiesAtOnce kills a third of the daemons and of the engines in the
-// middle of streams and of calls that may not be repeated.
-func TestAThirdDiesAtOnce(t *testing.T) {
+// TestThirdOfDaemonsAndEnginesDies kills a third of the daemons and of the engines
+// during streams and unrepeatable calls. The streams of the other daemons must
+// complete, and no call may run twice.
+func TestThirdOfDaemonsAndEnginesDies(t *testing.T) {
 	const perDaemon, tokens = 12, 60
 	f := start(t, devel.WithHalls("oslo-a", "oslo-b"), devel.WithDaemons(3), devel.WithEngines(3))
 	survivors := []int{1, 2, 4, 5}
-	var running, w sync.WaitGroup
+	var running, wg sync.WaitGroup
 	var mu sync.Mutex
 	lost, keys := 0, []string{}
 	for _, i := range survivors {
 		for range perDaemon {
 			running.Add(1)
-			w.Go(func() {
+			wg.Go(func() {
 				once := sync.OnceFunc(running.Done)
 				defer once()
-				_, b := open(t, t.Context(), f.Nodes[i].Callers(), "captions", prompt(t, "a caption", tokens, true))
+				_, b := openStream(t, t.Context(), f.Nodes[i].Callers(), "captions", prompt(t, "a caption", tokens, true))
 				once()
 				done, last := false, ""
 				for {
@@ -43,14 +44,14 @@
 				defer mu.Unlock()
 				if !done {
 					lost++
-					t.Logf("lost: %s", last)
+					t.Logf("incomplete stream, last event: %s", last)
 				}
 			})
 			key := uuid.Must(uuid.NewV7()).String()
 			keys = append(keys, key)
-			w.Go(func() {
+			wg.Go(func() {
 				status, body := post(t, f.Nodes[i].Callers(), "/v1/services/issue", "till", "{}", map[string]string{"Idempotency-Key": key})
-				if status != http.StatusOK && kindOf(t, body) == "" {
+				if status != http.StatusOK && errorKind(t, body) == "" {
 					t.Errorf("a call got %d %s", status, body)
 				}
 			})
@@ -63,9 +64,9 @@
 	for _, i := range []int{0, 3} {
 		f.KillEngine(i)
 	}
-	w.Wait()
+	wg.Wait()
 	if lost > 0 {
-		t.Errorf("%d of %d streams that had time left were lost", lost, len(survivors)*perDaemon)
+		t.Errorf("%d of %d streams of the remaining daemons are incomplete", lost, len(survivors)*perDaemon)
 	}
 	for _, k := range keys {
 		if n := f.Runners[0].Count(k) + f.Runners[1].Count(k); n > 1 {
--- a/cmd/devel/trace_test.go
+++ b/cmd/devel/trace_test.go
@@ -12,8 +12,9 @@
 	"slipcrank.example/cmd/devel"
 )
 
-// TestTraceHasASpanForEachHop follows one request, under its caller's trace,
-// through the daemon that took it and the owners that it asked.
+// TestTraceHasASpanForEachHop checks the spans of a request that continues its
+// caller's trace: those of the daemon that received it, and those of the requests
+// for offers to the engines' owners.
 func TestTraceHasASpanForEachHop(t *testing.T) {
 	const trace = "4bf92f3577b34da6a3ce929d0e0e4736"
 	e := tracetest.NewInMemoryExporter()
@@ -21,7 +22,7 @@
 	otel.SetTracerProvider(sdk.NewTracerProvider(sdk.WithSyncer(e), sdk.WithSampler(sdk.ParentBased(sdk.NeverSample()))))
 	f := start(t, devel.WithHalls("oslo-a"), devel.WithDaemons(3), devel.WithEngines(6))
 	want := []string{"request", "place", "attempt", "/slipcrank.peer.Peer/Bid"}
-	eventually(t, "a request's spans are there", func() bool {
+	eventually(t, "a request has all spans", func() bool {
 		status, body := post(t, f.Nodes[0].Callers(), "/v1/completions", "till", prompt(t, "hello", 1, false),
 			map[string]string{"traceparent": "00-" + trace + "-00f067aa0ba902b7-01"})
 		if status != http.StatusOK {
@@ -30,7 +31,7 @@
 		seen := map[string]bool{}
 		for _, s := range e.GetSpans() {
 			if s.SpanContext.TraceID().String() != trace {
-				t.Fatalf("span %s is of trace %s", s.Name, s.SpanContext.TraceID())
+				t.Fatalf("span %s belongs to another trace, %s", s.Name, s.SpanContext.TraceID())
 			}
 			seen[s.Name] = true
 		}
