--- a/cmd/devel/callers_test.go
+++ b/cmd/devel/callers_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// openStream starts a stream and reads its first line.
+// openStream starts a completion stream as a workspace and reads its first line.
 func openStream(t *testing.T, ctx context.Context, addr, workspace, body string) (*http.Response, *bufio.Reader) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/completions", strings.NewReader(body))
--- a/cmd/devel/owner_test.go
+++ b/cmd/devel/owner_test.go
@@ -34,9 +34,9 @@
 				t.Fatal(err)
 			}
 			moved := func() bool { return other.Loop().View().Owner(f.EngineAddrs[0]) == other.Peers() }
-			for answered := 0; answered < 5; { // number of requests sent since the other daemon owns the engine
+			for sent := 0; sent < 5; { // number of requests sent since the other daemon owns the engine
 				if moved() {
-					answered++
+					sent++
 				}
 				if status, body := post(t, other.Callers(), "/v1/completions", "till", prompt(t, "go on", 1, false), nil); status != http.StatusOK {
 					t.Fatalf("the other daemon answered %d %s; it owns the engine: %v", status, body, moved())
--- a/cmd/soak/caller.go
+++ b/cmd/soak/caller.go
@@ -16,6 +16,7 @@
 )
 
 const (
+	// siteHost is the host name of all routes, sent in the Host header.
 	siteHost = "soak.example"
 	// requestDeadline is the deadline that callers send with each request, as a
 	// time from its sending. Under load, an answer may arrive later by up to
--- a/cmd/soak/deadly_test.go
+++ b/cmd/soak/deadly_test.go
@@ -71,10 +71,10 @@
 
 // TestDeadlyRequestEndsFewServersRightAfterStart guards against a deadly request
 // that ends all twelve servers within half a second, one second after the start of
-// all hosts. A starting host reads the list of other hosts once per second. Before
-// it knows them, it neither sends nor receives records of suspects, so each host
-// takes the request for a new one. Hosts that know each other lose three or four
-// servers to the same callers.
+// all hosts. While hosts start, each reads the entries of the others only once per
+// second. Until they know each other, hosts exchange no records of suspects, so
+// each host treats the request as new. Hosts that know each other lose three or
+// four servers to the same callers.
 func TestDeadlyRequestEndsFewServersRightAfterStart(t *testing.T) {
 	runDeadlyRequests(t, "127.1.78.", func([]*host) {})
 }
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -163,7 +163,7 @@
 	s.httpServer = nil
 	go func() {
 		_ = pause.For(ctx, delay) // when ctx ends, the server stops at once
-		_ = old.Close()           // errors of connections don't matter, closed shows that the listener is gone
+		_ = old.Close()           // errors don't matter; closed reports that the listener is gone
 		<-closed
 		w.store.RemoveServer(id)
 		_ = pause.For(ctx, gap) // when ctx ends, the next server starts at once
