--- a/cmd/soak/deadly_test.go
+++ b/cmd/soak/deadly_test.go
@@ -114,7 +114,7 @@
 	for n := range 3 {
 		all.Go(func() {
 			for i := 0; pause.For(ctx, deadlyPause) == nil; i++ {
-				ask(hosts[(n+i)%len(hosts)], "/safe/bad", fmt.Sprintf("deadly-%d-%d", n, i), "one "+standin.Deadly)
+				ask(hosts[(n+i)%len(hosts)], "/safe/bad", fmt.Sprintf("deadly-%d-%d", n, i), "one "+standin.FatalMarker)
 			}
 		})
 	}
@@ -133,7 +133,7 @@
 	all.Wait()
 	ended := 0
 	for _, p := range servers {
-		ended += len(p.Ends())
+		ended += len(p.Crashes())
 	}
 	t.Logf("%d servers ended; %d of %d other requests were answered", ended, answered.Load(), asked.Load())
 	if ended < 1 || ended > mostEnded {
--- a/cmd/soak/notices.go
+++ b/cmd/soak/notices.go
@@ -135,7 +135,7 @@
 // they had passed on that it leaves.
 func (w *world) checkSaidLeaving(server string, as []arrival) {
 	for _, h := range w.hosts {
-		told, ok := passed(as, server, h, func(a arrival) bool { return a.Leaves })
+		told, ok := passed(as, server, h, func(a arrival) bool { return a.Leaving })
 		if !ok {
 			continue
 		}
@@ -151,10 +151,10 @@
 // checkRest looks whether a host that was asked for rest left the server alone.
 func (w *world) checkRest(as []arrival, way *proxy) {
 	for _, asked := range as {
-		if asked.Rest == "" {
+		if asked.Backoff == "" {
 			continue
 		}
-		seconds, err := strconv.ParseFloat(asked.Rest, 64)
+		seconds, err := strconv.ParseFloat(asked.Backoff, 64)
 		if err != nil {
 			panic(err) // it is made in this package
 		}
