--- a/cmd/soak/notices.go
+++ b/cmd/soak/notices.go
@@ -139,7 +139,7 @@
 // allowed after it had forwarded an answer which reports that the server leaves.
 func (w *world) checkReportedLeaving(server string, arrivals []arrival) {
 	for _, h := range w.hosts {
-		forwarded, ok := firstForwarded(arrivals, server, h, func(a arrival) bool { return a.Leaves })
+		forwarded, ok := firstForwarded(arrivals, server, h, func(a arrival) bool { return a.Leaving })
 		if !ok {
 			continue
 		}
@@ -156,10 +156,10 @@
 // server that had requested a backoff from it.
 func (w *world) checkBackoff(arrivals []arrival, p *proxy) {
 	for _, refused := range arrivals {
-		if refused.Rest == "" {
+		if refused.Backoff == "" {
 			continue
 		}
-		seconds, err := strconv.ParseFloat(refused.Rest, 64)
+		seconds, err := strconv.ParseFloat(refused.Backoff, 64)
 		if err != nil {
 			panic(err) // the value is formatted by this package
 		}
