--- a/cmd/command/capacity.go
+++ b/cmd/command/capacity.go
@@ -15,9 +15,9 @@
 )
 
 const capacityUsage = `capacity
-  Measure what one more member, engine, workspace, request, token or change
-  costs a daemon, and print the table of docs/CAPACITY.md. It takes about four
-  minutes and uses this machine alone.
+  Measure how much CPU time, memory and traffic each further member, engine,
+  workspace, request, token or change costs a daemon, and print the table of
+  docs/CAPACITY.md. Takes about four minutes and uses only the local machine.
 
   slipcrank capacity
   slipcrank capacity --fleets 8 --watch 5s --json`
@@ -27,20 +27,20 @@
 	var watch time.Duration
 	c := &command{name: "capacity", synopsis: "measure the slopes of docs/CAPACITY.md", usage: capacityUsage}
 	c.flags = func(f *flag.FlagSet) {
-		f.StringVar(&fleets, "fleets", "8,32,74", "sizes of the halls that are watched")
-		f.StringVar(&parts, "parts", "", "only these parts: state, bid, claim, stream, start, fleet, by commas")
-		f.DurationVar(&watch, "watch", 20*time.Second, "how long an idle hall is watched")
+		f.StringVar(&fleets, "fleets", "8,32,74", "sizes of the idle halls to measure, in daemons")
+		f.StringVar(&parts, "parts", "", "measure only these parts, separated by commas: state, bid, claim, stream, start, fleet")
+		f.DurationVar(&watch, "watch", 20*time.Second, "how long to measure each idle hall")
 	}
 	c.run = func(ctx context.Context, e *env, _ []string) error {
 		var ns []int
 		for _, x := range strings.Split(fleets, ",") {
 			n, err := strconv.Atoi(x)
 			if err != nil || n < 2 {
-				return usageError(fmt.Sprintf("--fleets has the bad value %q", x), "give whole numbers from 2, by commas")
+				return usageError(fmt.Sprintf("invalid value %q in --fleets", x), "give whole numbers of at least 2, separated by commas")
 			}
 			ns = append(ns, n)
 		}
-		klog.SetOutput(io.Discard) // hundreds of daemons in one log help nobody
+		klog.SetOutput(io.Discard) // the log of hundreds of daemons in one process is not readable
 		klog.LogToStderr(false)
 		os := []capacity.Option{capacity.WithFleets(ns...), capacity.WithWatch(watch)}
 		if parts != "" {
--- a/cmd/command/command.go
+++ b/cmd/command/command.go
@@ -1,8 +1,8 @@
-// Package command holds the subcommands of slipcrank, the operators' command
-// line.
+// Package command implements the subcommands of slipcrank, the command line
+// for operators.
 //
-// Each subcommand prints a short table, or JSON with --json. Errors go to
-// standard error with kind, cause and remedy. The exit codes are
+// Each subcommand prints a short table, or JSON with --json. Errors are written
+// to standard error with their kind, message and remedy. The exit codes are
 // [ExitSuccess], [ExitFailed], [ExitUsage], [ExitConflict] and
 // [ExitUnreachable].
 //
@@ -26,7 +26,7 @@
 	"slipcrank.example/core/fault"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitSuccess     = subcommands.ExitSuccess
 	ExitFailed      = subcommands.ExitFailure
@@ -45,7 +45,7 @@
 )
 
 type (
-	// command is one subcommand: a name, texts, flags, and what it does.
+	// command implements [subcommands.Command].
 	command struct {
 		name     string
 		synopsis string
@@ -60,21 +60,23 @@
 		err   io.Writer
 	}
 
-	// env is what a subcommand runs with.
+	// env holds the daemon client and the output settings of one run of a
+	// subcommand.
 	env struct {
 		client *admin.Client
 		json   bool
 		out    io.Writer
 	}
 
-	// table prints rows in columns.
+	// table is output in aligned columns.
 	table struct {
-		head []string
-		rows [][]string
+		header []string
+		rows   [][]string
 	}
 )
 
-// Register adds all subcommands to c. They print to out and complain to err.
+// Register adds all subcommands to c. They write results to out and errors to
+// err.
 func Register(c *subcommands.Commander, out, err io.Writer) {
 	add := func(group string, cs ...*command) {
 		for _, x := range cs {
@@ -103,8 +105,8 @@
 	if addr == "" {
 		addr = defaultAddr
 	}
-	f.StringVar(&c.addr, "addr", addr, "operators' address of a daemon; also "+addrVariable)
-	f.StringVar(&c.token, "token", "", "operators' token; better "+tokenVariable+", which no process list shows")
+	f.StringVar(&c.addr, "addr", addr, "operators' address of a daemon; may also be set in "+addrVariable)
+	f.StringVar(&c.token, "token", "", "operators' token; prefer "+tokenVariable+", since process lists show flags")
 	f.BoolVar(&c.json, "json", false, "print JSON")
 	if c.flags != nil {
 		c.flags(f)
@@ -113,16 +115,16 @@
 
 // Execute implements subcommands.Command.
 func (c *command) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	words, err := words(f)
+	args, err := parseInterspersed(f)
 	if err != nil {
-		return ExitUsage // the flag package has said why
+		return ExitUsage // the flag package has printed the reason
 	}
 	token := c.token
 	if token == "" {
 		token = os.Getenv(tokenVariable)
 	}
 	e := &env{client: admin.New(c.addr, token), json: c.json, out: c.out}
-	err = c.run(ctx, e, words)
+	err = c.run(ctx, e, args)
 	if err == nil {
 		return ExitSuccess
 	}
@@ -131,24 +133,24 @@
 	if x.Kind() == fault.Internal {
 		fmt.Fprintf(c.err, "cause: %v\n", x.Unwrap())
 	}
-	return exitOf(x)
+	return exitStatus(x)
 }
 
-// words returns the arguments that are no flags. Flags may stand before,
+// parseInterspersed returns the positional arguments, parsing flags before,
 // between and after them.
-func words(f *flag.FlagSet) ([]string, error) {
+func parseInterspersed(f *flag.FlagSet) ([]string, error) {
 	var out []string
 	for f.NArg() > 0 {
-		rest := f.Args()
-		out = append(out, rest[0])
-		if err := f.Parse(rest[1:]); err != nil {
+		remaining := f.Args()
+		out = append(out, remaining[0])
+		if err := f.Parse(remaining[1:]); err != nil {
 			return nil, err
 		}
 	}
 	return out, nil
 }
 
-func exitOf(f *fault.Error) subcommands.ExitStatus {
+func exitStatus(f *fault.Error) subcommands.ExitStatus {
 	switch f.Kind() {
 	case fault.BadRequest:
 		return ExitUsage
@@ -169,7 +171,7 @@
 		return j.Encode(v)
 	}
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
-	for _, r := range append([][]string{t.head}, t.rows...) {
+	for _, r := range append([][]string{t.header}, t.rows...) {
 		for i, x := range r {
 			if i > 0 {
 				fmt.Fprint(w, "\t")
@@ -181,5 +183,5 @@
 	return w.Flush()
 }
 
-// usageError tells how a subcommand is to be used.
+// usageError returns an error for wrong arguments; the exit code is [ExitUsage].
 func usageError(message, remedy string) error { return fault.New(fault.BadRequest, message, remedy) }
--- a/cmd/command/command_test.go
+++ b/cmd/command/command_test.go
@@ -19,19 +19,20 @@
 	"slipcrank.example/cmd/devel"
 )
 
-// run runs the command line and returns its exit code and output.
+// run runs the command line and returns its exit code, standard output and
+// standard error.
 func run(t *testing.T, args ...string) (subcommands.ExitStatus, string, string) {
 	t.Helper()
-	var out, complaints bytes.Buffer
+	var out, stderr bytes.Buffer
 	f := flag.NewFlagSet("slipcrank", flag.ContinueOnError)
 	f.SetOutput(io.Discard)
 	c := subcommands.NewCommander(f, "slipcrank")
-	c.Output, c.Error = &out, &complaints
-	command.Register(c, &out, &complaints)
+	c.Output, c.Error = &out, &stderr
+	command.Register(c, &out, &stderr)
 	if err := f.Parse(args); err != nil {
 		t.Fatal(err)
 	}
-	return c.Execute(context.Background()), out.String(), complaints.String()
+	return c.Execute(context.Background()), out.String(), stderr.String()
 }
 
 func TestOperatorsCommands(t *testing.T) {
@@ -63,31 +64,31 @@
 		name string
 		args []string
 		code subcommands.ExitStatus
-		want string // in the output, or in the complaint
+		want string // a part of standard output or standard error
 	}{
 		{"list", []string{"template", "list"}, command.ExitSuccess, "manuscripts"},
 		{"apply", []string{"template", "--change-id", "c1", "apply", path}, command.ExitSuccess, "c1"},
-		{"the same again", []string{"template", "--change-id", "c1", "apply", path}, command.ExitSuccess, "c1"},
-		{"on an old version", []string{"template", "--change-id", "c2", "apply", path}, command.ExitConflict, "version 2"},
+		{"apply with the same change ID", []string{"template", "--change-id", "c1", "apply", path}, command.ExitSuccess, "c1"},
+		{"apply to an old version", []string{"template", "--change-id", "c2", "apply", path}, command.ExitConflict, "version 2"},
 		{"history", []string{"template", "history", "till"}, command.ExitSuccess, "c1"},
 		{"status", []string{"template", "status"}, command.ExitSuccess, f.Nodes[1].Peers()},
 		{"unknown workspace", []string{"template", "get", "nobody"}, command.ExitFailed, "workspace list"},
 		{"no such file", []string{"template", "apply", "/nonexistent"}, command.ExitUsage, "file"},
 		{"no verb", []string{"template"}, command.ExitUsage, "help template"},
-		{"move without a part", []string{"workspace", "return", "till"}, command.ExitUsage, "--percent"},
-		{"move", []string{"workspace", "return", "--percent", "30", "till"}, command.ExitSuccess, "returning 30%"},
-		{"move with the flag first", []string{"workspace", "--percent", "0", "return", "till"}, command.ExitSuccess, "old 0%"},
-		{"an unknown flag", []string{"engines", "--nonsense"}, command.ExitUsage, ""},
+		{"return without a percentage", []string{"workspace", "return", "till"}, command.ExitUsage, "--percent"},
+		{"return", []string{"workspace", "return", "--percent", "30", "till"}, command.ExitSuccess, "returning 30%"},
+		{"return with the flag first", []string{"workspace", "--percent", "0", "return", "till"}, command.ExitSuccess, "old 0%"},
+		{"unknown flag", []string{"engines", "--nonsense"}, command.ExitUsage, ""},
 		{"engines", []string{"engines"}, command.ExitSuccess, "voucher-7b@1"},
 		{"hosts", []string{"hosts"}, command.ExitSuccess, "oldsite"},
 		{"unknown request", []string{"explain", "nothing"}, command.ExitFailed, "last requests"},
 		{"version", []string{"version"}, command.ExitSuccess, "slipcrank"},
 		{"wrong token", []string{"engines", "--token", "wrong"}, command.ExitFailed, "SLIPCRANK_TOKEN"},
-		{"no daemon there", []string{"hosts", "--addr", "127.0.0.1:1"}, command.ExitUnreachable, "--addr"},
+		{"no daemon at the address", []string{"hosts", "--addr", "127.0.0.1:1"}, command.ExitUnreachable, "--addr"},
 	} {
-		code, out, complaint := run(t, tc.args...)
-		if code != tc.code || !strings.Contains(out+complaint, tc.want) {
-			t.Errorf("%s: exit code %d, want %d; %q in %s%s", tc.name, code, tc.code, tc.want, out, complaint)
+		code, out, stderr := run(t, tc.args...)
+		if code != tc.code || !strings.Contains(out+stderr, tc.want) {
+			t.Errorf("%s: exit code %d, want %d; %q in %s%s", tc.name, code, tc.code, tc.want, out, stderr)
 		}
 	}
 	_, out, _ := run(t, "template", "--json", "list")
@@ -118,28 +119,28 @@
 	for name, tc := range map[string]struct {
 		args []string
 		exit subcommands.ExitStatus
-		want string // in what is printed, or complained of
+		want string // a part of standard output or standard error
 	}{
-		"a scenario": {[]string{"--scenario", write(good), "--seeds", "2"}, command.ExitSuccess, "let-back  short"},
-		"by workspaces": {
+		"scenario file": {[]string{"--scenario", write(good), "--seeds", "2"}, command.ExitSuccess, "let-back  short"},
+		"load of several workspaces": {
 			[]string{"--scenario", write(strings.Replace(good, "gap: 200ms}", "gap: 200ms, workspaces: 3, group: tills}", 1)), "--seeds", "2", "--policy", "no-shares,default"},
 			command.ExitSuccess, "no-shares  short",
 		},
 		"too many workspaces": {
 			[]string{"--scenario", write(strings.Replace(good, "gap: 200ms}", "gap: 200ms, workspaces: 30000}", 1))}, command.ExitUsage, "workspaces",
 		},
-		"no such policy":  {[]string{"--policy", "default,best"}, command.ExitUsage, "there is no policy best"},
-		"one seed":        {[]string{"--seeds", "1"}, command.ExitUsage, "--seeds 2 to 1000"},
-		"no file":         {[]string{"--scenario", "nowhere.yaml"}, command.ExitUsage, "can't be read"},
-		"unknown key":     {[]string{"--scenario", write(strings.Replace(good, "wait:", "weight:", 1))}, command.ExitUsage, "weight"},
-		"no engines":      {[]string{"--scenario", write(strings.Replace(good, "engines: 4", "engines: 0", 1))}, command.ExitUsage, "engines"},
-		"ends before":     {[]string{"--scenario", write(strings.Replace(good, "until: 2s", "until: 0s", 1))}, command.ExitUsage, "until"},
-		"nothing is read": {[]string{"--scenario", write(strings.Replace(good, "read_rate: 100000", "read_rate: 0", 1))}, command.ExitUsage, "read_rate"},
+		"unknown policy":         {[]string{"--policy", "default,best"}, command.ExitUsage, "there is no policy best"},
+		"one seed":               {[]string{"--seeds", "1"}, command.ExitUsage, "--seeds 2 to 1000"},
+		"no file":                {[]string{"--scenario", "nowhere.yaml"}, command.ExitUsage, "can't be read"},
+		"unknown key":            {[]string{"--scenario", write(strings.Replace(good, "wait:", "weight:", 1))}, command.ExitUsage, "weight"},
+		"no engines":             {[]string{"--scenario", write(strings.Replace(good, "engines: 4", "engines: 0", 1))}, command.ExitUsage, "engines"},
+		"load ends at its start": {[]string{"--scenario", write(strings.Replace(good, "until: 2s", "until: 0s", 1))}, command.ExitUsage, "until"},
+		"zero read rate":         {[]string{"--scenario", write(strings.Replace(good, "read_rate: 100000", "read_rate: 0", 1))}, command.ExitUsage, "read_rate"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			exit, out, complaints := run(t, append([]string{"experiment"}, tc.args...)...)
-			if exit != tc.exit || !strings.Contains(out+complaints, tc.want) {
-				t.Errorf("exit %d, printed %q, complained %q; want %d and %q", exit, out, complaints, tc.exit, tc.want)
+			exit, out, stderr := run(t, append([]string{"experiment"}, tc.args...)...)
+			if exit != tc.exit || !strings.Contains(out+stderr, tc.want) {
+				t.Errorf("exit code %d, output %q, errors %q; want exit code %d and %q", exit, out, stderr, tc.exit, tc.want)
 			}
 		})
 	}
--- a/cmd/command/dev.go
+++ b/cmd/command/dev.go
@@ -12,26 +12,26 @@
 
 const (
 	devUsage = `dev
-  Run a whole small fleet in this process: two data halls, each with daemons,
-  engines and an application runner, and the platform, as stand-ins.
+  Run a complete small fleet in this process: two data halls, each with daemons,
+  and stand-ins for the engines, the application runners and the platform.
 
   slipcrank dev
   slipcrank dev --halls oslo-a,oslo-b,oslo-c --daemons 3`
 
-	defaultBase = 18000
-	readyLook   = 50 * time.Millisecond
-	readyTime   = 30 * time.Second
+	defaultPortBase   = 18000
+	readyPollInterval = 50 * time.Millisecond
+	readyTimeout      = 30 * time.Second
 )
 
 func devCommand() *command {
 	var halls string
 	var daemons, engines, base int
-	c := &command{name: "dev", synopsis: "run a whole small fleet in this process", usage: devUsage}
+	c := &command{name: "dev", synopsis: "run a complete small fleet in this process", usage: devUsage}
 	c.flags = func(f *flag.FlagSet) {
 		f.StringVar(&halls, "halls", "oslo-a,oslo-b", "names of the data halls")
 		f.IntVar(&daemons, "daemons", 2, "daemons in each hall")
 		f.IntVar(&engines, "engines", 3, "engines in each hall")
-		f.IntVar(&base, "port-base", defaultBase, "ports count up from here; 0 lets the system choose")
+		f.IntVar(&base, "port-base", defaultPortBase, "first port of a consecutive range; 0 lets the operating system choose")
 	}
 	c.run = func(ctx context.Context, e *env, _ []string) error {
 		f, err := devel.Start(ctx, devel.WithHalls(strings.Split(halls, ",")...),
@@ -42,7 +42,7 @@
 		if err := awaitReady(ctx, f); err != nil {
 			return err
 		}
-		greet(e, f)
+		printInstructions(e, f)
 		<-ctx.Done()
 		return nil
 	}
@@ -50,9 +50,9 @@
 }
 
 func awaitReady(ctx context.Context, f *devel.Fleet) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	t := time.NewTicker(readyLook)
+	t := time.NewTicker(readyPollInterval)
 	defer t.Stop()
 	for !f.Ready() {
 		select {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func greet(e *env, f *devel.Fleet) {
+func printInstructions(e *env, f *devel.Fleet) {
 	fmt.Fprintf(e.out, "platform stand-in: %s\n", f.PlatformAddr)
 	for _, n := range f.Nodes {
 		fmt.Fprintf(e.out, "daemon in %s: callers %s, operators %s\n", n.Loop().View().Self.Hall, n.Callers(), n.Operators())
@@ -87,10 +87,10 @@
 `, devel.Credential("till"), devel.Model, f.Nodes[0].Callers(), f.Nodes[0].Operators(), devel.Token)
 }
 
-const versionText = "slipcrank 0.1.0-dev"
+const versionLine = "slipcrank 0.1.0-dev"
 
 func versionCommand() *command {
 	return &command{name: "version", synopsis: "print the version", usage: "version\n  Print the version.", run: func(_ context.Context, e *env, _ []string) error {
-		return e.print(map[string]string{"version": versionText}, table{head: []string{versionText}})
+		return e.print(map[string]string{"version": versionLine}, table{header: []string{versionLine}})
 	}}
 }
--- a/cmd/command/fleet.go
+++ b/cmd/command/fleet.go
@@ -14,7 +14,7 @@
 
 const (
 	workspaceUsage = `workspace list | status WORKSPACE | move WORKSPACE | return WORKSPACE
-  Move workspaces between the old site and the new one.
+  Move the traffic of workspaces between the old site and the new one.
 
   slipcrank workspace move --percent 20 till   (a fifth of the keys go to the new site)
   slipcrank workspace move --percent 100 till  (all: the move has ended)
@@ -22,14 +22,15 @@
   slipcrank workspace return --percent 0 till  (all are back on the old site)`
 
 	hostsUsage = `hosts
-  Show the platform's host list, as the daemon last read it.`
+  Show the platform's host list as of the daemon's last read.`
 
 	enginesUsage = `engines
-  Show the engines: where they are, what they hold, and which daemon owns them.`
+  Show the engines with their data halls, model copies, KV memory and owners.`
 
 	explainUsage = `explain REQUEST-ID
-  Show why a request went to its engine: the offers that were compared, the
-  choice and its reason, for each attempt. Ask the entry host that served it.`
+  Show why a request was placed on its engine: the compared offers, the choice
+  and its reason, for each attempt. Send the command to the entry host that
+  served the request (--addr).`
 )
 
 type (
@@ -84,9 +85,9 @@
 
 func workspaceCommand() *command {
 	var percent int
-	c := &command{name: "workspace", synopsis: "move workspaces between the sites", usage: workspaceUsage}
+	c := &command{name: "workspace", synopsis: "move workspaces between the old and the new site", usage: workspaceUsage}
 	c.flags = func(f *flag.FlagSet) {
-		f.IntVar(&percent, "percent", -1, "part of the workspace's keys that the new site serves")
+		f.IntVar(&percent, "percent", -1, "percentage of the workspace's keys that the new site serves")
 	}
 	c.run = func(ctx context.Context, e *env, args []string) error {
 		verb, name := argument(args, 0), argument(args, 1)
@@ -96,19 +97,19 @@
 		case verb == "status" && name != "":
 			return templateHistory(ctx, e, name)
 		case verb == "move" && name != "":
-			return cross(ctx, e, name, template.Moving, percent)
+			return setCrossover(ctx, e, name, template.Moving, percent)
 		case verb == "return" && name != "":
-			return cross(ctx, e, name, template.Returning, percent)
+			return setCrossover(ctx, e, name, template.Returning, percent)
 		default:
-			return usageError("the words after workspace are off", "see slipcrank help workspace")
+			return usageError("unknown or incomplete arguments after workspace", "see slipcrank help workspace")
 		}
 	}
 	return c
 }
 
-func cross(ctx context.Context, e *env, name string, state template.State, percent int) error {
+func setCrossover(ctx context.Context, e *env, name string, state template.State, percent int) error {
 	if percent < 0 {
-		return usageError("the part to move is missing", "give --percent, from 0 to 100")
+		return usageError("the percentage to move is missing", "give --percent, from 0 to 100")
 	}
 	switch {
 	case state == template.Moving && percent == 100:
@@ -121,8 +122,8 @@
 		return err
 	}
 	return e.print(r, table{
-		head: []string{"WORKSPACE", "VERSION", "CROSSOVER"},
-		rows: [][]string{{name, strconv.FormatUint(r.Template.Version, 10), crossing(r.Template)}},
+		header: []string{"WORKSPACE", "VERSION", "CROSSOVER"},
+		rows:   [][]string{{name, strconv.FormatUint(r.Template.Version, 10), formatCrossover(r.Template)}},
 	})
 }
 
@@ -132,9 +133,9 @@
 		if err := e.client.Get(ctx, "/v1/hosts", &r); err != nil {
 			return err
 		}
-		t := table{head: []string{"HOST", "HALL", "ROLE", "SERVICE", "LEAVING"}}
+		t := table{header: []string{"HOST", "HALL", "ROLE", "SERVICE", "LEAVING"}}
 		for _, h := range r {
-			t.rows = append(t.rows, []string{h.Addr, h.Hall, string(h.Role), h.Service, yes(h.Leaving)})
+			t.rows = append(t.rows, []string{h.Addr, h.Hall, string(h.Role), h.Service, yesNo(h.Leaving)})
 		}
 		return e.print(r, t)
 	}}
@@ -146,7 +147,7 @@
 		if err := e.client.Get(ctx, "/v1/engines", &r); err != nil {
 			return err
 		}
-		t := table{head: []string{"ENGINE", "HALL", "STATUS", "ROLE", "COPIES", "TOKENS", "OWNER"}}
+		t := table{header: []string{"ENGINE", "HALL", "STATUS", "ROLE", "COPIES", "TOKENS", "OWNER"}}
 		for _, x := range r.Engines {
 			t.rows = append(t.rows, []string{
 				x.Addr, x.Hall, x.Status, x.Role, strings.Join(x.Copies, ","), strconv.Itoa(x.TotalTokens), x.Owner,
@@ -157,20 +158,20 @@
 }
 
 func explainCommand() *command {
-	return &command{name: "explain", synopsis: "show why a request went where it went", usage: explainUsage, run: func(ctx context.Context, e *env, args []string) error {
+	return &command{name: "explain", synopsis: "show why a request was placed on its engine", usage: explainUsage, run: func(ctx context.Context, e *env, args []string) error {
 		if argument(args, 0) == "" {
-			return usageError("the request's id is missing", "take it from X-Request-Id in the answer")
+			return usageError("the request ID is missing", "take it from the header X-Request-Id of the answer")
 		}
 		var r explainReply
 		if err := e.client.Get(ctx, "/v1/explain/"+args[0], &r); err != nil {
 			return err
 		}
-		t := table{head: []string{"ATTEMPT", "ENGINE", "WAIT", "PREFILL", "CACHED", "FITS", "EJECTED", "CHOSEN"}}
+		t := table{header: []string{"ATTEMPT", "ENGINE", "WAIT", "PREFILL", "CACHED", "FITS", "EJECTED", "CHOSEN"}}
 		for i, a := range r.Attempts {
 			for _, o := range a.Decision.Offers {
 				t.rows = append(t.rows, []string{
 					strconv.Itoa(i + 1), o.Addr, o.Wait.Round(time.Millisecond).String(), o.Prefill.Round(time.Millisecond).String(),
-					strconv.Itoa(o.Cached), yes(o.Fits), yes(o.Ejected), yes(o.Addr == a.Decision.Chosen),
+					strconv.Itoa(o.Cached), yesNo(o.Fits), yesNo(o.Ejected), yesNo(o.Addr == a.Decision.Chosen),
 				})
 			}
 			t.rows = append(t.rows, []string{strconv.Itoa(i + 1), "reason: " + a.Decision.Reason})
--- a/cmd/command/load.go
+++ b/cmd/command/load.go
@@ -14,8 +14,8 @@
 )
 
 const loadUsage = `load
-  Put an open-loop load of mixed prompts on a fleet and report what callers see.
-  The defaults fit the fleet of slipcrank dev.
+  Send an open-loop load of mixed prompts to a fleet and report the latency and
+  the errors that callers see. The defaults fit the fleet of slipcrank dev.
 
   slipcrank load --for 20s --json
   slipcrank load --rate 60 --long 0.05 --plot load.svg
@@ -25,19 +25,19 @@
 	p := load.DefaultPlan()
 	p.Model = devel.Model
 	var targets, workspaces, plot string
-	c := &command{name: "load", synopsis: "put a load on a fleet and measure it", usage: loadUsage}
+	c := &command{name: "load", synopsis: "send a load to a fleet and measure the answers", usage: loadUsage}
 	c.flags = func(f *flag.FlagSet) {
 		f.StringVar(&targets, "target", "127.0.0.1:18080,127.0.0.1:18081,127.0.0.1:18082,127.0.0.1:18083", "callers' addresses of entry hosts")
 		f.StringVar(&workspaces, "workspaces", defaultWorkspaces(), "workspaces as name=credential, with :long for those that send prompts over 100k tokens")
-		f.StringVar(&plot, "plot", "", "write an SVG picture to this file")
-		f.StringVar(&p.Model, "model", p.Model, "model to ask for")
-		f.DurationVar(&p.Duration, "for", p.Duration, "how long requests are sent")
+		f.StringVar(&plot, "plot", "", "write a plot in SVG format to this file")
+		f.StringVar(&p.Model, "model", p.Model, "requested model")
+		f.DurationVar(&p.Duration, "for", p.Duration, "how long to send requests")
 		f.Float64Var(&p.Rate, "rate", p.Rate, "requests a second")
-		f.Float64Var(&p.LongPart, "long", p.LongPart, "part of requests with over 100k tokens")
-		f.Float64Var(&p.MidPart, "mid", p.MidPart, "part of requests with 4k to 100k tokens")
+		f.Float64Var(&p.LongPart, "long", p.LongPart, "fraction of requests with over 100k tokens")
+		f.Float64Var(&p.MidPart, "mid", p.MidPart, "fraction of requests with 4k to 100k tokens")
 		f.IntVar(&p.LongMost, "long-most", p.LongMost, "tokens of the longest prompt")
 		f.IntVar(&p.MaxTokens, "max-tokens", p.MaxTokens, "tokens of each answer")
-		f.DurationVar(&p.Deadline, "deadline", p.Deadline, "time of each request")
+		f.DurationVar(&p.Deadline, "deadline", p.Deadline, "deadline of each request")
 		f.Uint64Var(&p.Seed, "seed", p.Seed, "seed of all random numbers")
 	}
 	c.run = func(ctx context.Context, e *env, _ []string) error {
@@ -76,7 +76,7 @@
 		name, rest, ok := strings.Cut(x, "=")
 		credential, long := strings.CutSuffix(rest, ":long")
 		if !ok || name == "" || credential == "" {
-			return nil, usageError("a workspace can't be read: "+name, "give --workspaces as name=credential,name=credential:long")
+			return nil, usageError("invalid workspace in --workspaces: "+name, "give --workspaces as name=credential,name=credential:long")
 		}
 		out = append(out, load.Workspace{Name: name, Credential: credential, Weight: 1, Long: long})
 	}
@@ -98,7 +98,7 @@
 }
 
 func loadTable(r load.Report) table {
-	t := table{head: []string{"PROMPT", "COUNT", "FIRST P50", "P95", "P99", "BETWEEN P50", "P95", "P99"}}
+	t := table{header: []string{"PROMPT", "COUNT", "FIRST P50", "P95", "P99", "BETWEEN P50", "P95", "P99"}}
 	ms := func(x float64) string { return fmt.Sprintf("%.1fms", x) }
 	row := func(name string, f, b load.Quantiles) {
 		t.rows = append(t.rows, []string{name, fmt.Sprint(f.Count), ms(f.P50), ms(f.P95), ms(f.P99), ms(b.P50), ms(b.P95), ms(b.P99)})
--- a/cmd/command/standin.go
+++ b/cmd/command/standin.go
@@ -15,7 +15,8 @@
 )
 
 const standinUsage = `standin platform | engine | runner | oldsite
-  Run one stand-in by itself, so that it can be killed, frozen or cut off.
+  Run one stand-in in a process of its own, so that it can be killed, frozen or
+  disconnected.
 
   slipcrank standin --listen 127.0.0.1:18100 platform
   slipcrank standin --listen 127.0.0.1:18201 --model voucher-7b@1 engine`
@@ -26,15 +27,15 @@
 	var tokens int
 	var delay time.Duration
 	var fence bool
-	c := &command{name: "standin", synopsis: "run one stand-in", usage: standinUsage}
+	c := &command{name: "standin", synopsis: "run one stand-in in a process of its own", usage: standinUsage}
 	c.flags = func(f *flag.FlagSet) {
 		p := engine.DefaultParams()
-		f.StringVar(&listen, "listen", "127.0.0.1:0", "address to answer on")
-		f.StringVar(&copies, "model", "voucher-7b@1", "engine: copies held at the start, as model@version, by commas")
+		f.StringVar(&listen, "listen", "127.0.0.1:0", "address to listen on")
+		f.StringVar(&copies, "model", "voucher-7b@1", "engine: model copies loaded at the start, as model@version, separated by commas")
 		f.Float64Var(&prefill, "prefill", p.PrefillRate, "engine: prompt tokens prefilled a second")
 		f.IntVar(&tokens, "kv-tokens", p.KVTokens, "engine: KV memory, in tokens")
 		f.BoolVar(&fence, "checks-fence", p.ChecksFence, "engine: refuse orders with an old fence")
-		f.DurationVar(&delay, "delay", 0, "runner: time that a call takes after it was counted")
+		f.DurationVar(&delay, "delay", 0, "runner: duration of a call after it was counted")
 	}
 	c.run = func(ctx context.Context, e *env, args []string) error {
 		var addr string
@@ -51,7 +52,7 @@
 		case "runner":
 			addr, err = runner.New(runner.WithDelay(func(string) time.Duration { return delay })).Serve(ctx, listen)
 		default:
-			return usageError("the kind of stand-in is missing", "name platform, engine, runner or oldsite after the flags")
+			return usageError("missing or unknown kind of stand-in", "give platform, engine, runner or oldsite after the flags")
 		}
 		if err != nil {
 			return err
--- a/cmd/command/suspects.go
+++ b/cmd/command/suspects.go
@@ -6,10 +6,11 @@
 )
 
 const suspectsUsage = `suspects list | pardon PRINT | count FILE...
-  Show the requests under which backend servers ended, as one entry host knows
-  them, or clear one: all hosts forget it, and it runs again. Or count what hosts'
-  logs say of them: it fails if any was held or refused, as a check of a day on
-  which no request ends servers.
+  List the requests that one entry host suspects of crashing backend servers, or
+  pardon one: all hosts drop the suspicion and accept the request again. count
+  counts the log events about suspects in hosts' logs, and fails if any request
+  was blocked or refused as a suspect. Use it to check a period in which no
+  request crashed servers.
 
   slipcrank suspects --addr 10.1.0.40:9464 list       (the host's metrics address)
   slipcrank suspects --addr 10.1.0.40:9464 pardon 3f1c...
@@ -17,18 +18,18 @@
 
 type (
 	suspectStatus struct {
-		Print     string `json:"print"`
-		Same      string `json:"same"`
-		Workspace string `json:"workspace"`
-		Stage     string `json:"stage"`
-		Ended     int    `json:"ended"`
+		Fingerprint string `json:"print"`
+		HeadHash    string `json:"same"`
+		Workspace   string `json:"workspace"`
+		Stage       string `json:"stage"`
+		Crashes     int    `json:"ended"`
 	}
 
 	suspectsReply struct {
 		Suspects []suspectStatus `json:"suspects"`
 	}
 
-	pardonOrder struct {
+	pardonRequest struct {
 		Print string `json:"print"`
 	}
 
@@ -38,16 +39,16 @@
 )
 
 func suspectsCommand() *command {
-	return &command{name: "suspects", synopsis: "show or clear requests that end backend servers", usage: suspectsUsage, run: func(ctx context.Context, e *env, args []string) error {
-		switch verb, print := argument(args, 0), argument(args, 1); {
+	return &command{name: "suspects", synopsis: "show or pardon requests suspected of crashing backend servers", usage: suspectsUsage, run: func(ctx context.Context, e *env, args []string) error {
+		switch verb, target := argument(args, 0), argument(args, 1); {
 		case verb == "list":
 			return listSuspects(ctx, e)
-		case verb == "pardon" && print != "":
-			return pardonSuspect(ctx, e, print)
-		case verb == "count" && print != "":
+		case verb == "pardon" && target != "":
+			return pardonSuspect(ctx, e, target)
+		case verb == "count" && target != "":
 			return countSuspects(e, args[1:])
 		default:
-			return usageError("the words after suspects are off", "see slipcrank help suspects")
+			return usageError("unknown or incomplete arguments after suspects", "see slipcrank help suspects")
 		}
 	}}
 }
@@ -57,17 +58,17 @@
 	if err := e.client.Get(ctx, "/v1/suspects", &r); err != nil {
 		return err
 	}
-	t := table{head: []string{"PRINT", "SAME", "WORKSPACE", "STAGE", "ENDED"}}
+	t := table{header: []string{"PRINT", "SAME", "WORKSPACE", "STAGE", "ENDED"}}
 	for _, s := range r.Suspects {
-		t.rows = append(t.rows, []string{s.Print, s.Same, s.Workspace, s.Stage, strconv.Itoa(s.Ended)})
+		t.rows = append(t.rows, []string{s.Fingerprint, s.HeadHash, s.Workspace, s.Stage, strconv.Itoa(s.Crashes)})
 	}
 	return e.print(r, t)
 }
 
-func pardonSuspect(ctx context.Context, e *env, print string) error {
+func pardonSuspect(ctx context.Context, e *env, fingerprint string) error {
 	var r pardonReply
-	if err := e.client.Post(ctx, "/v1/suspects/pardon", pardonOrder{print}, &r); err != nil {
+	if err := e.client.Post(ctx, "/v1/suspects/pardon", pardonRequest{fingerprint}, &r); err != nil {
 		return err
 	}
-	return e.print(r, table{head: []string{"PRINT", "PARDONED"}, rows: [][]string{{print, yes(r.Pardoned)}}})
+	return e.print(r, table{header: []string{"PRINT", "PARDONED"}, rows: [][]string{{fingerprint, yesNo(r.Pardoned)}}})
 }
--- a/cmd/command/suspects_count.go
+++ b/cmd/command/suspects_count.go
@@ -16,42 +16,44 @@
 )
 
 const (
-	// maxLine bounds a line of a log.
-	maxLine = 1 << 20
-	// refusedWaits and refusedEnding are why a request is refused as a suspect: it
-	// has to wait, or it or its workspace ends servers. So it stands in SC1513.
-	refusedWaits  = "suspect_waits"
-	refusedEnding = "_ends_servers"
+	// maxLineBytes bounds the length of a log line.
+	maxLineBytes = 1 << 20
+	// reasonIsolationWait and reasonBlockedSuffix match the reasons in SC1513 for
+	// refusing a suspect: it has to wait for isolation, or it or its workspace is
+	// blocked for crashing servers.
+	reasonIsolationWait = "suspect_waits"
+	reasonBlockedSuffix = "_ends_servers"
 )
 
 type (
-	// suspectLine is what is read of a log line.
-	suspectLine struct {
-		Event int    `json:"event"`
-		Stage string `json:"stage"`
-		Why   string `json:"why"`
+	// logLine holds the fields of a log line that are evaluated.
+	logLine struct {
+		Event  int    `json:"event"`
+		Stage  string `json:"stage"`
+		Reason string `json:"why"`
 	}
 
-	// suspectCount is how many lines of each kind there are.
-	suspectCount struct {
-		Found   int            `json:"found"`  // ends, by one host's look
-		Proved  int            `json:"proved"` // ends, by a second host's
-		Stages  map[string]int `json:"stages"`
-		Refused map[string]int `json:"refused"` // by why
+	// suspectCounts counts the log lines by event, stage and reason.
+	suspectCounts struct {
+		CrashesReported  int            `json:"found"`  // crashes seen by one host, unconfirmed
+		CrashesConfirmed int            `json:"proved"` // crashes confirmed by a second host
+		Stages           map[string]int `json:"stages"`
+		Refused          map[string]int `json:"refused"` // by reason
 	}
 )
 
-// countSuspects counts what hosts' logs say of suspects. It is an error if they held
-// or refused any: a check where no request is deadly.
+// countSuspects counts the log events about suspects in the files at paths. It returns
+// an error if any request was blocked or refused as a suspect, since it serves to
+// check runs in which no request crashes servers.
 func countSuspects(e *env, paths []string) error {
-	c := suspectCount{Stages: map[string]int{}, Refused: map[string]int{}}
+	c := suspectCounts{Stages: map[string]int{}, Refused: map[string]int{}}
 	for _, p := range paths {
 		f, err := os.Open(p)
 		if err != nil {
-			return usageError("a log can't be read: "+err.Error(), "name files with the hosts' log lines")
+			return usageError("can't read log: "+err.Error(), "give files with the hosts' log lines")
 		}
 		err = c.read(f)
-		_ = f.Close() // it was only read
+		_ = f.Close() // opened for reading only
 		if err != nil {
 			return err
 		}
@@ -60,19 +62,19 @@
 		return err
 	}
 	if c.Stages[quarantine.Blocked.String()] > 0 || len(c.Refused) > 0 {
-		return fault.New(fault.EndsEngines, "requests were held, or refused as suspects", "if none is deadly, look for SC1314 and what else ended then")
+		return fault.New(fault.EndsEngines, "requests were blocked (stage held) or refused as suspects", "if none of them crashes servers, look for SC1314 and for other crashes at that time")
 	}
 	return nil
 }
 
-// read counts the lines of one log. What stands before a line's braces is passed over,
-// and lines that are none of a host's.
-func (c *suspectCount) read(r io.Reader) error {
+// read counts the lines of one log. It ignores text before the JSON object of a line,
+// and lines without a JSON object.
+func (c *suspectCounts) read(r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		i := strings.IndexByte(s.Text(), '{')
-		var l suspectLine
+		var l logLine
 		if i < 0 || json.Unmarshal([]byte(s.Text()[i:]), &l) != nil {
 			continue
 		}
@@ -81,31 +83,31 @@
 	return errors.Wrap(s.Err(), "read log")
 }
 
-func (c *suspectCount) add(l suspectLine) {
+func (c *suspectCounts) add(l logLine) {
 	switch l.Event {
 	case event.ServerEnded.Number:
-		c.Found++
+		c.CrashesReported++
 	case event.EndProved.Number:
-		c.Proved++
+		c.CrashesConfirmed++
 	case event.SuspectChanged.Number:
 		c.Stages[l.Stage]++
 	case event.RequestRefused.Number:
-		if l.Why == refusedWaits || strings.HasSuffix(l.Why, refusedEnding) {
-			c.Refused[l.Why]++
+		if l.Reason == reasonIsolationWait || strings.HasSuffix(l.Reason, reasonBlockedSuffix) {
+			c.Refused[l.Reason]++
 		}
 	}
 }
 
-func (c *suspectCount) table() table {
-	t := table{head: []string{"WHAT", "LINES"}}
-	row := func(what string, n int) { t.rows = append(t.rows, []string{what, strconv.Itoa(n)}) }
-	row("ends found by one host", c.Found)
-	row("ends proved by another", c.Proved)
+func (c *suspectCounts) table() table {
+	t := table{header: []string{"WHAT", "LINES"}}
+	row := func(label string, n int) { t.rows = append(t.rows, []string{label, strconv.Itoa(n)}) }
+	row("ends found by one host", c.CrashesReported)
+	row("ends proved by another", c.CrashesConfirmed)
 	for _, s := range []quarantine.Stage{quarantine.Suspect, quarantine.Serialized, quarantine.Blocked} {
 		row(s.String(), c.Stages[s.String()])
 	}
-	for _, why := range []string{refusedWaits, "workspace" + refusedEnding, "request" + refusedEnding} {
-		row("refused, "+why, c.Refused[why])
+	for _, reason := range []string{reasonIsolationWait, "workspace" + reasonBlockedSuffix, "request" + reasonBlockedSuffix} {
+		row("refused, "+reason, c.Refused[reason])
 	}
 	return t
 }
--- a/cmd/command/template.go
+++ b/cmd/command/template.go
@@ -22,8 +22,9 @@
   slipcrank template apply --change-id 2f1c... till.yaml   (again, after a lost answer)
   slipcrank template status                                (who lags behind)
 
-  A template is applied on the version that it names; if another operator was
-  sooner, the command ends with exit code 3 and names the version in force.`
+  A template replaces the version that it names. If that version is no longer in
+  force, because another operator has changed the template, the command ends with
+  exit code 3 and prints the version in force.`
 
 type (
 	templatesReply struct {
@@ -67,7 +68,7 @@
 	var changeID string
 	c := &command{name: "template", synopsis: "show and change templates", usage: templateUsage}
 	c.flags = func(f *flag.FlagSet) {
-		f.StringVar(&changeID, "change-id", "", "id of the change, to repeat an apply whose answer was lost")
+		f.StringVar(&changeID, "change-id", "", "ID of the change; repeat it to retry an apply whose answer was lost")
 	}
 	c.run = func(ctx context.Context, e *env, args []string) error {
 		verb, name := argument(args, 0), argument(args, 1)
@@ -83,7 +84,7 @@
 		case verb == "history" && name != "":
 			return templateHistory(ctx, e, name)
 		default:
-			return usageError("the words after template are off", "see slipcrank help template")
+			return usageError("unknown or incomplete arguments after template", "see slipcrank help template")
 		}
 	}
 	return c
@@ -94,10 +95,10 @@
 	if err := e.client.Get(ctx, "/v1/templates", &r); err != nil {
 		return err
 	}
-	t := table{head: []string{"WORKSPACE", "VERSION", "URGENCY", "MODELS", "CROSSOVER"}}
+	t := table{header: []string{"WORKSPACE", "VERSION", "URGENCY", "MODELS", "CROSSOVER"}}
 	for _, x := range r.Templates {
 		t.rows = append(t.rows, []string{
-			x.Workspace, strconv.FormatUint(x.Version, 10), string(x.Urgency), models(x), crossing(x),
+			x.Workspace, strconv.FormatUint(x.Version, 10), string(x.Urgency), formatModels(x), formatCrossover(x),
 		})
 	}
 	return e.print(r, t)
@@ -122,7 +123,7 @@
 func applyTemplate(ctx context.Context, e *env, path, changeID string) error {
 	b, err := readInput(path)
 	if err != nil {
-		return fault.Newf(fault.BadRequest, "name a file that can be read, or - for standard input", "%v", err)
+		return fault.Newf(fault.BadRequest, "give a readable file, or - for standard input", "%v", err)
 	}
 	if changeID == "" {
 		changeID = uuid.NewString()
@@ -136,7 +137,7 @@
 		return err
 	}
 	return e.print(r, table{
-		head: []string{"WORKSPACE", "VERSION", "CHANGE", "CHANGE ID"},
+		header: []string{"WORKSPACE", "VERSION", "CHANGE", "CHANGE ID"},
 		rows: [][]string{{
 			r.Template.Workspace, strconv.FormatUint(r.Template.Version, 10), strconv.FormatUint(r.Number, 10), r.ChangeID,
 		}},
@@ -148,11 +149,11 @@
 	if err := e.client.Get(ctx, "/v1/history/"+name, &r); err != nil {
 		return err
 	}
-	t := table{head: []string{"CHANGE", "VERSION", "URGENCY", "MODELS", "CROSSOVER", "CHANGE ID"}}
+	t := table{header: []string{"CHANGE", "VERSION", "URGENCY", "MODELS", "CROSSOVER", "CHANGE ID"}}
 	for _, x := range r.Changes {
 		t.rows = append(t.rows, []string{
 			strconv.FormatUint(x.Number, 10), strconv.FormatUint(x.Template.Version, 10),
-			string(x.Template.Urgency), models(x.Template), crossing(x.Template), x.ID,
+			string(x.Template.Urgency), formatModels(x.Template), formatCrossover(x.Template), x.ID,
 		})
 	}
 	return e.print(r, t)
@@ -163,14 +164,14 @@
 	if err := e.client.Get(ctx, "/v1/status", &r); err != nil {
 		return err
 	}
-	t := table{head: []string{"DAEMON", "HALL", "STATUS", "CHANGE", "LAGS"}}
+	t := table{header: []string{"DAEMON", "HALL", "STATUS", "CHANGE", "LAGS"}}
 	for _, d := range r.Daemons {
-		t.rows = append(t.rows, []string{d.Addr, d.Hall, d.Status, strconv.FormatUint(d.Number, 10), yes(d.Lags)})
+		t.rows = append(t.rows, []string{d.Addr, d.Hall, d.Status, strconv.FormatUint(d.Number, 10), yesNo(d.Lags)})
 	}
 	return e.print(r, t)
 }
 
-func models(t template.Template) string {
+func formatModels(t template.Template) string {
 	out := ""
 	for i, m := range t.Models {
 		if i > 0 {
@@ -181,7 +182,7 @@
 	return out
 }
 
-func crossing(t template.Template) string {
+func formatCrossover(t template.Template) string {
 	return fmt.Sprintf("%s %d%% epoch %d", t.Crossover.State, t.Crossover.Percent, t.Crossover.Epoch)
 }
 
@@ -192,7 +193,7 @@
 	return ""
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
