--- a/cmd/policy/policies.go
+++ b/cmd/policy/policies.go
@@ -11,24 +11,24 @@
 	"slipcrank.example/core/route"
 )
 
-// asked is how many engines are asked for: at full size, those of three
-// owners.
-const asked = 5
+// defaultCandidates is how many engines an entry host gets offers for. At full
+// size they belong to about three owners.
+const defaultCandidates = 5
 
-// RoundRobin gives each entry host its own turn over the engines.
+// RoundRobin places requests on the engines in turn, separately at each entry host.
 func RoundRobin() Policy {
-	return Policy{Name: "round robin", New: func(s Scene) Placer {
+	return Policy{Name: "round robin", New: func(s Scenario) Placer {
 		var mu sync.Mutex
-		next := make([]int, s.Entries)
+		next := make([]int, s.EntryHosts)
 		for i := range next {
-			next[i] = i * s.Engines / s.Entries
+			next[i] = i * s.Engines / s.EntryHosts
 		}
 		return Placer{
 			Place: func(q Request) (int, time.Duration, bool) {
 				mu.Lock()
 				defer mu.Unlock()
-				next[q.Entry] = (next[q.Entry] + 1) % s.Engines
-				return next[q.Entry], 0, true
+				next[q.EntryHost] = (next[q.EntryHost] + 1) % s.Engines
+				return next[q.EntryHost], 0, true
 			},
 			Finish: func(Request, int, time.Duration) {},
 			Poll:   func(int, protocol.Report, protocol.EventPage) {},
@@ -36,10 +36,10 @@
 	}}
 }
 
-// LeastReported takes the engine whose last report shows the least work.
+// LeastReported selects the engine with the least work in its last load report.
 func LeastReported() Policy {
-	return Policy{Name: "least reported", New: func(s Scene) Placer {
-		return reported(s, func(r *rand.Rand, load []int) int {
+	return Policy{Name: "least reported", New: func(s Scenario) Placer {
+		return newReportPlacer(s, func(r *rand.Rand, load []int) int {
 			best := r.IntN(len(load))
 			for i := range load {
 				if load[i] < load[best] {
@@ -51,10 +51,10 @@
 	}}
 }
 
-// TwoChoices takes the less loaded of two random engines, by their reports.
+// TwoChoices selects the less loaded of two random engines by their last reports.
 func TwoChoices() Policy {
-	return Policy{Name: "two choices", New: func(s Scene) Placer {
-		return reported(s, func(r *rand.Rand, load []int) int {
+	return Policy{Name: "two choices", New: func(s Scenario) Placer {
+		return newReportPlacer(s, func(r *rand.Rand, load []int) int {
 			a, b := r.IntN(len(load)), r.IntN(len(load))
 			if load[b] < load[a] {
 				return b
@@ -64,7 +64,7 @@
 	}}
 }
 
-func reported(s Scene, pick func(*rand.Rand, []int) int) Placer {
+func newReportPlacer(s Scenario, pick func(*rand.Rand, []int) int) Placer {
 	var mu sync.Mutex
 	load := make([]int, s.Engines)
 	r := rand.New(rand.NewPCG(s.Seed, 2))
@@ -83,57 +83,57 @@
 	}
 }
 
-// owners is the policy of slipcrank: each engine's load is tracked by one
-// owner, and an entry host asks a few of them.
+// owners implements the policy of slipcrank: each engine's load is tracked by one
+// owner, and an entry host gets offers from a few of them.
 type owners struct {
-	scene Scene
-	mu    sync.Mutex
-	rand  *rand.Rand
-	names []string
-	books []*route.LoadTracker
+	scene    Scenario
+	mu       sync.Mutex
+	rand     *rand.Rand
+	names    []string
+	trackers []*route.LoadTracker
 }
 
 // Owners returns the policy of slipcrank.
-func Owners() Policy { return OwnersAsking(asked) }
+func Owners() Policy { return OwnersWithCandidates(defaultCandidates) }
 
-// OwnersAsking is [Owners] with another number of owners asked.
-func OwnersAsking(n int) Policy {
-	return Policy{Name: "owners, asking " + strconv.Itoa(n), New: func(s Scene) Placer {
+// OwnersWithCandidates is [Owners] with another number of engines to get offers for.
+func OwnersWithCandidates(n int) Policy {
+	return Policy{Name: "owners, asking " + strconv.Itoa(n), New: func(s Scenario) Placer {
 		o := &owners{scene: s, rand: rand.New(rand.NewPCG(s.Seed, 3))}
 		for i := range s.Engines {
 			o.names = append(o.names, strconv.Itoa(i))
-			o.books = append(o.books, route.NewLoadTracker(strconv.Itoa(i), time.Now()))
+			o.trackers = append(o.trackers, route.NewLoadTracker(strconv.Itoa(i), time.Now()))
 		}
 		return Placer{
 			Place:    func(q Request) (int, time.Duration, bool) { return o.place(q, n) },
 			Finish:   o.finish,
 			Poll:     o.poll,
-			Priority: byUrgency,
+			Priority: urgencyPriority,
 		}
 	}}
 }
 
 func (o *owners) place(q Request, n int) (int, time.Duration, bool) {
-	time.Sleep(2 * hop) // the bids
+	time.Sleep(2 * messageDelay) // bid requests and replies
 	o.mu.Lock()
 	var offers []route.Offer
 	for _, i := range o.candidates(q, n) {
-		offers = append(offers, o.books[i].Offer(q.Prompt, time.Now()))
+		offers = append(offers, o.trackers[i].Offer(q.Prompt, time.Now()))
 	}
 	best, _, ok := route.Choose(q.Prompt, offers, time.Now())
 	o.mu.Unlock()
 	if !ok {
 		return 0, 0, false
 	}
-	time.Sleep(hop) // the placement, on its way to the owner
+	time.Sleep(messageDelay) // the placement message to the owner
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e, _ := strconv.Atoi(best.Addr)
-	return e, o.books[e].Place(q.ID, q.Prompt, time.Now()), true
+	return e, o.trackers[e].Place(q.ID, q.Prompt, time.Now()), true
 }
 
-// candidates are the engine that the prompt's first block is hashed to, and
-// others at random.
+// candidates returns the engine that the hash of the prompt's first block selects,
+// and random others.
 func (o *owners) candidates(q Request, n int) []int {
 	var out []int
 	if len(q.Chain) > 0 {
@@ -148,38 +148,38 @@
 	return out
 }
 
-func (o *owners) finish(q Request, e int, first time.Duration) {
+func (o *owners) finish(q Request, e int, firstToken time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.books[e].Finish(q.ID, first, time.Now())
+	o.trackers[e].Finish(q.ID, firstToken, time.Now())
 }
 
 func (o *owners) poll(e int, r protocol.Report, p protocol.EventPage) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.books[e]
-	b.ApplyReport(route.Load{
+	tracker := o.trackers[e]
+	tracker.ApplyReport(route.Load{
 		Taken: time.Now().Add(-r.Age), Incarnation: r.Incarnation,
 		Pending: r.PendingTokens, Waiting: r.Waiting, Used: r.UsedTokens, Total: r.TotalTokens,
 	}, time.Now())
-	if len(p.Blocks) > 0 || !b.CacheIndex().InSync() {
-		b.CacheIndex().Resync(p.Blocks, p.Number)
+	if len(p.Blocks) > 0 || !tracker.CacheIndex().InSync() {
+		tracker.CacheIndex().Resync(p.Blocks, p.Number)
 		return
 	}
 	for _, x := range p.Events {
 		if x.Evicted {
-			b.CacheIndex().Evict(x.Number, x.Block)
+			tracker.CacheIndex().Evict(x.Number, x.Block)
 		} else {
-			b.CacheIndex().Add(x.Number, x.Block)
+			tracker.CacheIndex().Add(x.Number, x.Block)
 		}
 	}
 }
 
-// WithUrgency returns p with the priorities that slipcrank gives.
+// WithUrgency returns p with slipcrank's priorities on the engines.
 func (p Policy) WithUrgency() Policy {
-	return Policy{Name: p.Name + " +urgency", New: func(s Scene) Placer {
+	return Policy{Name: p.Name + " +urgency", New: func(s Scenario) Placer {
 		x := p.New(s)
-		x.Priority = byUrgency
+		x.Priority = urgencyPriority
 		return x
 	}}
 }
--- a/cmd/policy/policy.go
+++ b/cmd/policy/policy.go
@@ -1,12 +1,13 @@
-// Package policy compares ways to place requests on engines, under the same
-// seeded arrivals. Engines are stand-ins in memory, decision makers are many,
-// and each sees load reports that lag. Time is that of package time, so that a
-// run in a synctest bubble takes no wall time and disturbs nothing.
+// Package policy simulates policies for placing requests on engines, and compares
+// them under the same seeded arrivals. The engines are in-memory stand-ins. Many
+// entry hosts decide independently, each from load reports that arrive late. Runs
+// use the clock of package time, so that in a synctest bubble they take no wall
+// time and are not affected by the load of the machine.
 //
 // # Usage
 //
 //	synctest.Test(t, func(t *testing.T) {
-//		r := policy.Run(policy.DefaultScene(), policy.Owners())
+//		r := policy.Run(policy.DefaultScenario(), policy.Owners())
 //	})
 package policy
 
@@ -29,157 +30,160 @@
 
 const (
 	model = "m"
-	// hop is the time of one message between daemons of a hall.
-	hop = 500 * time.Microsecond
-	// pollPeriod is how often load reports are read.
+	// messageDelay is the one-way delay of a message between daemons of a hall.
+	messageDelay = 500 * time.Microsecond
+	// pollPeriod is the interval between reads of an engine's load report.
 	pollPeriod = 500 * time.Millisecond
 
-	shortMost = 4_000
-	midMost   = 100_000
-	blockSeed = 0x51ca
+	shortMaxTokens = 4_000
+	midMaxTokens   = 100_000
+	arrivalSeed    = 0x51ca
 )
 
 // Bucket is a range of prompt lengths.
 type Bucket int
 
-// The buckets.
+// Buckets of prompt lengths; Buckets is their number.
 const (
-	Short Bucket = iota // to 4,000 tokens
-	Mid                 // to 100,000
-	Long                // above
+	Short Bucket = iota // up to 4,000 tokens
+	Mid                 // up to 100,000 tokens
+	Long                // over 100,000 tokens
 	Buckets
 )
 
 type (
-	// Scene is what a run plays: an immutable value.
-	Scene struct {
-		Engines    int
-		Entries    int // decision makers
-		Rate       float64
-		Seconds    float64
-		MidPart    float64
-		LongPart   float64
-		LongMost   int
-		MaxTokens  int
-		Workspaces int
-		Shared     int // prompt tokens that a workspace's requests share
-		Seed       uint64
-		Params     engine.Params
-		// SlowEvery makes one engine in so many prefill at a quarter of the
-		// rate; 0 is none.
+	// Scenario describes the fleet and the traffic of a run. It is an immutable value.
+	Scenario struct {
+		Engines       int
+		EntryHosts    int // hosts that place requests independently
+		Rate          float64
+		Seconds       float64
+		MidFraction   float64
+		LongFraction  float64
+		LongMaxTokens int
+		MaxTokens     int
+		Workspaces    int
+		SharedTokens  int // length of the prefix common to a workspace's prompts
+		Seed          uint64
+		EngineParams  engine.Params
+		// SlowEvery makes one in SlowEvery engines prefill at a quarter of the rate;
+		// 0 means none.
 		SlowEvery int
-		// Shares of the workspaces, by their numbers; nil is none.
+		// Shares holds the shares of the workspaces, by their numbers; nil means
+		// equal shares.
 		Shares []float64
-		// Patience is the time that a request has, by urgency.
-		Patience map[template.Urgency]time.Duration
+		// Timeouts holds the time from arrival to deadline, by urgency.
+		Timeouts map[template.Urgency]time.Duration
 	}
 
-	// Request is one arrival.
+	// Request is one arriving request.
 	Request struct {
-		ID     string
-		At     time.Duration
-		Entry  int
-		Prompt route.Prompt
-		Chain  []uint64
-		Bucket Bucket
-		// Urgency of its workspace.
+		ID        string
+		Arrival   time.Duration
+		EntryHost int
+		Prompt    route.Prompt
+		Chain     []uint64
+		Bucket    Bucket
+		// Urgency is that of the request's bucket.
 		Urgency template.Urgency
 	}
 
-	// Placer is a policy in a running scene.
+	// Placer is a policy applied to one run of a scenario.
 	Placer struct {
-		// Place returns the engine for a request, or false if it is refused.
-		Place func(q Request) (e int, behind time.Duration, ok bool)
-		// First and Finish tell how an attempt went.
-		Finish func(q Request, e int, first time.Duration)
-		// Priority orders the work of an engine; nil is first come, first
-		// served.
+		// Place returns the engine for a request and the delay by which its
+		// priority yields to other workspaces, or false if it is refused.
+		Place func(q Request) (e int, fairnessDelay time.Duration, ok bool)
+		// Finish reports the end of a request and its time to first token after
+		// placement.
+		Finish func(q Request, e int, firstToken time.Duration)
+		// Priority returns the priority of a request on its engine; if it is nil,
+		// engines process requests in order of arrival.
 		Priority func(q Request, now time.Time) int64
-		// Poll gets each engine's load report, twice a second.
+		// Poll receives each engine's load report and events, twice a second.
 		Poll func(e int, r protocol.Report, p protocol.EventPage)
 	}
 
-	// Policy makes a placer for a scene.
+	// Policy creates the placer for a scenario.
 	Policy struct {
 		Name string
-		New  func(s Scene) Placer
+		New  func(s Scenario) Placer
 	}
 
-	// Result of a run.
+	// Result holds the outcome of a run.
 	Result struct {
-		Policy   string
-		First    [Buckets]*hdrhistogram.Histogram // microseconds
-		Sent     int
-		Refused  int
-		InTime   int
-		Prefill  int // tokens prefilled by all engines
-		Useful   int // those of requests that were in time
-		Finished int
-		// Work is the prompt tokens of the requests that were done while
-		// others still arrived, by workspace; Fresh those of them that were not
-		// cached, which is what engines worked for.
-		Work, Fresh map[string]float64
+		Policy        string
+		FirstToken    [Buckets]*hdrhistogram.Histogram // microseconds
+		Sent          int
+		Refused       int
+		InTime        int
+		PrefillTokens int // tokens prefilled by all engines
+		UsefulTokens  int // those of requests that finished before their deadline
+		Finished      int
+		// FinishedTokens counts, by workspace, the prompt tokens of the requests that
+		// finished within the scenario's Seconds; UncachedTokens counts those of them
+		// that were not cached, which the engines had to prefill.
+		FinishedTokens, UncachedTokens map[string]float64
 	}
 )
 
-// DefaultScene returns a scene with a few dozen engines at about 70% of what
-// they can prefill.
-func DefaultScene() Scene {
+// DefaultScenario returns a scenario with 36 engines at about 70% of their prefill
+// capacity.
+func DefaultScenario() Scenario {
 	p := engine.DefaultParams()
-	return Scene{
-		Engines: 36, Entries: 24, Rate: 75, Seconds: 60, MidPart: 0.2, LongPart: 0.02, LongMost: 300_000,
-		MaxTokens: 24, Workspaces: 10, Shared: 1024, Seed: 1, Params: p,
-		Patience: map[template.Urgency]time.Duration{
+	return Scenario{
+		Engines: 36, EntryHosts: 24, Rate: 75, Seconds: 60, MidFraction: 0.2, LongFraction: 0.02, LongMaxTokens: 300_000,
+		MaxTokens: 24, Workspaces: 10, SharedTokens: 1024, Seed: 1, EngineParams: p,
+		Timeouts: map[template.Urgency]time.Duration{
 			template.Interactive: 2 * time.Minute, template.Standard: 2 * time.Minute, template.Review: 2 * time.Minute,
 		},
 	}
 }
 
-// WithoutLong returns a copy of s whose arrivals are the short ones of s only.
-func (s Scene) WithoutLong() Scene {
-	s.Rate *= 1 - s.MidPart - s.LongPart
-	s.MidPart, s.LongPart = 0, 0
+// WithShortOnly returns a copy of s with only the short requests, at their rate in s.
+func (s Scenario) WithShortOnly() Scenario {
+	s.Rate *= 1 - s.MidFraction - s.LongFraction
+	s.MidFraction, s.LongFraction = 0, 0
 	return s
 }
 
-// WithRate returns a copy of s with another rate of arrivals, a second.
-func (s Scene) WithRate(r float64) Scene {
+// WithRate returns a copy of s with r arrivals a second.
+func (s Scenario) WithRate(r float64) Scenario {
 	s.Rate = r
 	return s
 }
 
-// WithPatience returns a copy of s whose requests have these times.
-func (s Scene) WithPatience(interactive, standard, review time.Duration) Scene {
-	s.Patience = map[template.Urgency]time.Duration{
+// WithTimeouts returns a copy of s with these times from arrival to deadline.
+func (s Scenario) WithTimeouts(interactive, standard, review time.Duration) Scenario {
+	s.Timeouts = map[template.Urgency]time.Duration{
 		template.Interactive: interactive, template.Standard: standard, template.Review: review,
 	}
 	return s
 }
 
-// WithSlow returns a copy of s in which one engine in n is slow.
-func (s Scene) WithSlow(n int) Scene {
+// WithSlowEvery returns a copy of s in which one in n engines is slow.
+func (s Scenario) WithSlowEvery(n int) Scenario {
 	s.SlowEvery = n
 	return s
 }
 
-func (s Scene) paramsOf(i int) engine.Params {
-	p := s.Params
+func (s Scenario) engineParams(i int) engine.Params {
+	p := s.EngineParams
 	if s.SlowEvery > 0 && i%s.SlowEvery == 0 {
 		p.PrefillRate /= 4
 	}
 	return p
 }
 
-// WithShares returns a copy of s with one workspace for each share, all of
-// whose traffic is of one kind, on few engines.
-func (s Scene) WithShares(shares ...float64) Scene {
+// WithShares returns a copy of s with few engines and one workspace for each share,
+// all of which send short requests only.
+func (s Scenario) WithShares(shares ...float64) Scenario {
 	s.Shares, s.Workspaces = shares, len(shares)
-	s.MidPart, s.LongPart = 0, 0
-	s.Engines, s.Entries = 6, 6
+	s.MidFraction, s.LongFraction = 0, 0
+	s.Engines, s.EntryHosts = 6, 6
 	return s
 }
 
-func (s Scene) share(workspace int) float64 {
+func (s Scenario) share(workspace int) float64 {
 	if workspace < len(s.Shares) {
 		return s.Shares[workspace]
 	}
@@ -187,23 +191,23 @@
 }
 
 // WithSeed returns a copy of s with another seed.
-func (s Scene) WithSeed(n uint64) Scene {
+func (s Scenario) WithSeed(n uint64) Scenario {
 	s.Seed = n
 	return s
 }
 
-// Arrivals returns the requests of a scene. They depend on the seed only, not
-// on the policy.
-func (s Scene) Arrivals() []Request {
-	r := rand.New(rand.NewPCG(s.Seed, blockSeed))
+// Arrivals returns the requests of a scenario. They depend on the scenario and its
+// seed only, not on the policy.
+func (s Scenario) Arrivals() []Request {
+	r := rand.New(rand.NewPCG(s.Seed, arrivalSeed))
 	var out []Request
 	for at := 0.0; ; {
 		at += r.ExpFloat64() / s.Rate
 		if at > s.Seconds {
 			return out
 		}
-		q := Request{ID: strconv.Itoa(len(out)), At: time.Duration(at * float64(time.Second)), Entry: r.IntN(s.Entries)}
-		tokens := s.draw(r, &q)
+		q := Request{ID: strconv.Itoa(len(out)), Arrival: time.Duration(at * float64(time.Second)), EntryHost: r.IntN(s.EntryHosts)}
+		tokens := s.drawPrompt(r, &q)
 		w := r.IntN(s.Workspaces)
 		q.Chain = s.chain(r, w, tokens)
 		q.Prompt = route.Prompt{
@@ -213,25 +217,26 @@
 	}
 }
 
-func (s Scene) draw(r *rand.Rand, q *Request) int {
+func (s Scenario) drawPrompt(r *rand.Rand, q *Request) int {
 	switch x := r.Float64(); {
-	case x < s.LongPart:
+	case x < s.LongFraction:
 		q.Bucket, q.Urgency = Long, template.Review
-		return logUniform(r, midMost, s.LongMost)
-	case x < s.LongPart+s.MidPart:
+		return logUniform(r, midMaxTokens, s.LongMaxTokens)
+	case x < s.LongFraction+s.MidFraction:
 		q.Bucket, q.Urgency = Mid, template.Standard
-		return logUniform(r, shortMost, midMost)
+		return logUniform(r, shortMaxTokens, midMaxTokens)
 	default:
 		q.Urgency = template.Interactive
-		return logUniform(r, shortMost/4, shortMost)
+		return logUniform(r, shortMaxTokens/4, shortMaxTokens)
 	}
 }
 
-// chain names the blocks of a prompt whose beginning is its workspace's.
-func (s Scene) chain(r *rand.Rand, workspace, tokens int) []uint64 {
+// chain returns the block hashes of a prompt that starts with the prefix of its
+// workspace.
+func (s Scenario) chain(r *rand.Rand, workspace, tokens int) []uint64 {
 	out := make([]uint64, tokens/prefix.BlockTokens)
 	for i := range out {
-		if i < s.Shared/prefix.BlockTokens {
+		if i < s.SharedTokens/prefix.BlockTokens {
 			out[i] = uint64(workspace)<<32 | uint64(i) | 1<<62
 			continue
 		}
@@ -240,13 +245,13 @@
 	return out
 }
 
-func logUniform(r *rand.Rand, least, most int) int {
-	return int(float64(least) * math.Pow(float64(most)/float64(least), r.Float64()))
+func logUniform(r *rand.Rand, low, high int) int {
+	return int(float64(low) * math.Pow(float64(high)/float64(low), r.Float64()))
 }
 
-// run is a scene being played.
-type run struct {
-	scene   Scene
+// simulation is the state of one run of a scenario.
+type simulation struct {
+	scene   Scenario
 	engines []*engine.Engine
 	placer  Placer
 	start   time.Time
@@ -255,21 +260,21 @@
 	result Result
 }
 
-// byUrgency is the priority that slipcrank gives.
-func byUrgency(q Request, now time.Time) int64 {
+// urgencyPriority returns slipcrank's priority of a request.
+func urgencyPriority(q Request, now time.Time) int64 {
 	return route.Priority(q.Urgency, q.Prompt.Tokens, now, q.Prompt.Deadline)
 }
 
-// Run plays a scene with a policy.
-func Run(s Scene, p Policy) Result {
+// Run simulates a scenario under a policy.
+func Run(s Scenario, p Policy) Result {
 	ctx, cancel := context.WithCancel(context.Background())
-	x := &run{scene: s, placer: p.New(s), start: time.Now(), result: Result{Policy: p.Name, Work: map[string]float64{}, Fresh: map[string]float64{}}}
-	for b := range x.result.First {
-		x.result.First[b] = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
+	x := &simulation{scene: s, placer: p.New(s), start: time.Now(), result: Result{Policy: p.Name, FinishedTokens: map[string]float64{}, UncachedTokens: map[string]float64{}}}
+	for b := range x.result.FirstToken {
+		x.result.FirstToken[b] = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	}
 	var background sync.WaitGroup
 	for i := range s.Engines {
-		e := engine.New(engine.WithParams(s.paramsOf(i)), engine.WithCopies(protocol.Copy{Model: model, Version: "1"}),
+		e := engine.New(engine.WithParams(s.engineParams(i)), engine.WithCopies(protocol.Copy{Model: model, Version: "1"}),
 			engine.WithIncarnation(uint64(i)+1))
 		x.engines = append(x.engines, e)
 	}
@@ -279,18 +284,18 @@
 	}
 	var w sync.WaitGroup
 	for _, q := range s.Arrivals() {
-		w.Go(func() { x.play(q) })
+		w.Go(func() { x.runRequest(q) })
 	}
 	w.Wait()
 	cancel()
 	background.Wait()
 	for _, e := range x.engines {
-		x.result.Prefill += e.Totals().PrefillTokens
+		x.result.PrefillTokens += e.Totals().PrefillTokens
 	}
 	return x.result
 }
 
-func (x *run) poll(ctx context.Context, i int) {
+func (x *simulation) poll(ctx context.Context, i int) {
 	var seen uint64
 	for ctx.Err() == nil {
 		r := x.engines[i].Report()
@@ -309,61 +314,63 @@
 	}
 }
 
-func (x *run) play(q Request) {
-	time.Sleep(q.At)
-	q.Prompt.Deadline = time.Now().Add(x.scene.Patience[q.Urgency])
+func (x *simulation) runRequest(q Request) {
+	time.Sleep(q.Arrival)
+	q.Prompt.Deadline = time.Now().Add(x.scene.Timeouts[q.Urgency])
 	if x.placer.Priority != nil {
 		q.Prompt.Priority = x.placer.Priority(q, time.Now())
 	}
 	arrived := time.Now()
-	e, behind, ok := x.placer.Place(q)
+	e, fairnessDelay, ok := x.placer.Place(q)
 	if !ok {
-		x.count(func(r *Result) { r.Refused++ })
+		x.record(func(r *Result) { r.Refused++ })
 		return
 	}
 	out, err := x.engines[e].Submit(engine.Job{
 		Request: q.ID, Attempt: q.ID, Model: model, Prompt: q.Prompt.Tokens, Chain: q.Chain,
-		MaxTokens: q.Prompt.MaxTokens, Priority: q.Prompt.WithDelay(behind).Priority,
+		MaxTokens: q.Prompt.MaxTokens, Priority: q.Prompt.WithDelay(fairnessDelay).Priority,
 	})
 	if err != nil {
-		x.count(func(r *Result) { r.Refused++ })
+		x.record(func(r *Result) { r.Refused++ })
 		return
 	}
 	placed := time.Now()
 	<-out
-	first := time.Since(arrived)
-	toFirst := time.Since(placed)
+	firstToken := time.Since(arrived)
+	firstTokenAfterPlacement := time.Since(placed)
 	cached := 0
 	for p := range out {
-		cached = p.Cached // of the last piece
+		cached = p.Cached // the last piece has the final count
 	}
-	x.placer.Finish(q, e, toFirst)
-	x.count(func(r *Result) {
-		_ = r.First[q.Bucket].RecordValue(first.Microseconds())
+	x.placer.Finish(q, e, firstTokenAfterPlacement)
+	x.record(func(r *Result) {
+		_ = r.FirstToken[q.Bucket].RecordValue(firstToken.Microseconds())
 		r.Finished++
 		if time.Since(x.start).Seconds() < x.scene.Seconds {
-			r.Work[q.Prompt.Workspace] += float64(q.Prompt.Tokens)
-			r.Fresh[q.Prompt.Workspace] += float64(q.Prompt.Tokens - cached)
+			r.FinishedTokens[q.Prompt.Workspace] += float64(q.Prompt.Tokens)
+			r.UncachedTokens[q.Prompt.Workspace] += float64(q.Prompt.Tokens - cached)
 		}
 		if time.Now().Before(q.Prompt.Deadline) {
 			r.InTime++
-			r.Useful += q.Prompt.Tokens - cached
+			r.UsefulTokens += q.Prompt.Tokens - cached
 		}
 	})
 }
 
-func (x *run) count(f func(*Result)) {
+func (x *simulation) record(f func(*Result)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.result.Sent++
 	f(&x.result)
 }
 
-// Wasted returns the part of the prefilled tokens that was for requests which
-// came too late.
-func (r Result) Wasted() float64 { return 1 - float64(r.Useful)/float64(max(r.Prefill, 1)) }
+// WastedFraction returns the fraction of the prefilled tokens that belonged to
+// requests which finished after their deadline.
+func (r Result) WastedFraction() float64 {
+	return 1 - float64(r.UsefulTokens)/float64(max(r.PrefillTokens, 1))
+}
 
 // Quantile returns a quantile of the time to first token in a bucket.
 func (r Result) Quantile(b Bucket, q float64) time.Duration {
-	return time.Duration(r.First[b].ValueAtQuantile(q)) * time.Microsecond
+	return time.Duration(r.FirstToken[b].ValueAtQuantile(q)) * time.Microsecond
 }
