--- a/cmd/admin/admin.go
+++ b/cmd/admin/admin.go
@@ -1,10 +1,11 @@
-// Package admin is the command line's client of the operators' interface.
+// Package admin provides the command line's client of a daemon's operators'
+// interface.
 //
 // # Usage
 //
 //	c := admin.New("127.0.0.1:19090", token)
-//	var r admin.Templates
-//	err := c.Get(ctx, "/v1/templates", &r)
+//	var out templatesReply
+//	err := c.Get(ctx, "/v1/templates", &out)
 package admin
 
 import (
@@ -19,7 +20,7 @@
 )
 
 type (
-	// Client calls one daemon.
+	// Client calls the operators' interface of one daemon.
 	Client struct {
 		web   *web.Client
 		addr  string
@@ -40,48 +41,48 @@
 	return &Client{web: web.New(), addr: addr, token: token}
 }
 
-// Get reads path into out.
+// Get requests path and decodes the JSON answer into out.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
 	return c.call(ctx, fasthttp.MethodGet, path, nil, out)
 }
 
-// Post sends in to path and reads the answer into out.
+// Post sends in as JSON to path and decodes the JSON answer into out.
 func (c *Client) Post(ctx context.Context, path string, in, out any) error {
 	return c.call(ctx, fasthttp.MethodPost, path, in, out)
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	r, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(r)
-	defer fasthttp.ReleaseResponse(a)
-	r.Header.SetMethod(method)
-	r.SetRequestURI("http://" + c.addr + path)
-	r.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.token)
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	req.Header.SetMethod(method)
+	req.SetRequestURI("http://" + c.addr + path)
+	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.token)
 	if in != nil {
 		b, err := json.Marshal(in)
 		if err != nil {
 			return errors.Wrap(err, "encode request")
 		}
-		r.SetBodyRaw(b)
+		req.SetBodyRaw(b)
 	}
-	if err := c.web.Do(ctx, r, a); err != nil {
-		return fault.Newf(fault.PlatformDown, "start it, or name another with --addr or SLIPCRANK_ADDR",
+	if err := c.web.Do(ctx, req, resp); err != nil {
+		return fault.Newf(fault.PlatformDown, "start it, or give the address of another with --addr or SLIPCRANK_ADDR",
 			"the daemon at %s does not answer", c.addr).WithCause(err)
 	}
-	b, err := web.ReadBody(a)
+	b, err := web.ReadBody(resp)
 	if err != nil {
 		return errors.Wrap(err, "read answer")
 	}
-	if a.StatusCode() != fasthttp.StatusOK {
-		return faultOf(b, a.StatusCode())
+	if resp.StatusCode() != fasthttp.StatusOK {
+		return parseFault(b, resp.StatusCode())
 	}
 	return errors.Wrap(json.Unmarshal(b, out), "decode answer")
 }
 
-func faultOf(b []byte, status int) error {
+func parseFault(b []byte, status int) error {
 	var e errorBody
 	if err := json.Unmarshal(b, &e); err != nil || e.Error.Kind == "" {
-		return fault.Newf(fault.Internal, "look at the daemon's log", "the daemon answered with status %d", status)
+		return fault.Newf(fault.Internal, "see the daemon's log", "the daemon answered with status %d", status)
 	}
 	return fault.New(e.Error.Kind, e.Error.Message, e.Error.Remedy)
 }
