--- a/cmd/capacity/capacity.go
+++ b/cmd/capacity/capacity.go
@@ -1,14 +1,13 @@
-// Package capacity measures the slopes from which docs/CAPACITY.md is worked
-// out: what one more member, engine, workspace, request, token or change costs
-// a daemon, in processor time, bytes and memory.
+// Package capacity measures the slopes from which docs/CAPACITY.md is calculated:
+// the CPU time, traffic and memory that each further member, engine, workspace,
+// request, token or change costs a daemon.
 //
-// Fleets run inside this process, with stand-ins, over loopback. Their
-// processor time therefore holds that of the stand-ins too and is an upper
-// bound for the daemons.
+// Fleets run inside this process, with stand-ins, over loopback. Their CPU time
+// therefore includes that of the stand-ins and is an upper bound for the daemons.
 //
 // # Usage
 //
-//	rows, err := capacity.Measure(ctx, capacity.WithFleets(8, 32, 74))
+//	rows, err := capacity.Measure(ctx, capacity.WithFleetSizes(8, 32, 74))
 package capacity
 
 import (
@@ -29,16 +28,16 @@
 		Unit  string  `json:"unit"`
 	}
 
-	// Option changes a measurement.
+	// Option configures [Measure].
 	Option func(*config)
 
 	config struct {
-		fleets []int
-		watch  time.Duration
-		parts  []string
+		fleetSizes   []int
+		idleDuration time.Duration
+		parts        []string
 	}
 
-	// measurement gives some rows.
+	// measurement yields the rows with the given names.
 	measurement struct {
 		part  string
 		names []string
@@ -46,26 +45,26 @@
 	}
 )
 
-// WithFleets sets the sizes of the fleets that are watched.
-func WithFleets(ns ...int) Option { return func(c *config) { c.fleets = ns } }
+// WithFleetSizes sets the sizes of the idle fleets to measure, in daemons.
+func WithFleetSizes(ns ...int) Option { return func(c *config) { c.fleetSizes = ns } }
 
-// WithWatch sets how long an idle fleet is watched.
-func WithWatch(d time.Duration) Option { return func(c *config) { c.watch = d } }
+// WithIdleDuration sets how long each idle fleet is measured.
+func WithIdleDuration(d time.Duration) Option { return func(c *config) { c.idleDuration = d } }
 
-// WithParts takes only some of the parts: state, bid, claim, stream, start, fleet.
+// WithParts restricts the measurement to some parts: state, bid, claim, stream, start, fleet.
 func WithParts(ps ...string) Option { return func(c *config) { c.parts = ps } }
 
-func defaults() config { return config{fleets: []int{8, 32, 74}, watch: 20 * time.Second} }
+func defaults() config { return config{fleetSizes: []int{8, 32, 74}, idleDuration: 20 * time.Second} }
 
 func measurements(c config) []measurement {
 	ms := []measurement{stateMeasurement(), bidMeasurement(), claimMeasurement(), streamMeasurement()}
-	for _, n := range c.fleets {
+	for _, n := range c.fleetSizes {
 		ms = append(ms, fleetMeasurement(n))
 	}
-	return append(ms, startMeasurement()) // last, since it leaves much memory behind for a while
+	return append(ms, startMeasurement()) // last, since much of its memory is not released at once
 }
 
-// Names returns the names of the rows that [Measure] gives by default.
+// Names returns the names of the rows that [Measure] returns by default.
 func Names() []string {
 	var out []string
 	for _, m := range measurements(defaults()) {
@@ -74,7 +73,7 @@
 	return out
 }
 
-// Measure takes all measurements, one after another.
+// Measure runs all measurements, one after another.
 func Measure(ctx context.Context, os ...Option) ([]Row, error) {
 	c := defaults()
 	for _, o := range os {
@@ -94,7 +93,7 @@
 	return out, nil
 }
 
-// Table writes rows as the table of docs/CAPACITY.md.
+// Table writes rows as the Markdown table of docs/CAPACITY.md.
 func Table(w io.Writer, rows []Row) error {
 	if _, err := fmt.Fprint(w, "| slope | value | unit |\n|---|---|---|\n"); err != nil {
 		return err
@@ -107,8 +106,8 @@
 	return nil
 }
 
-// cpu returns the processor time of this process so far.
-func cpu() time.Duration {
+// processCPUTime returns the CPU time that this process has used so far.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -116,8 +115,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap returns the bytes of live memory.
-func heap() float64 {
+// liveHeapBytes returns the heap size after garbage collection.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -125,21 +124,21 @@
 	return float64(m.HeapAlloc)
 }
 
-// perCall returns the wall time of one call of f, in microseconds.
-func perCall(f func()) float64 {
-	const least = 200 * time.Millisecond
+// microsPerCall returns the mean wall time of a call of f, in microseconds.
+func microsPerCall(f func()) float64 {
+	const minDuration = 200 * time.Millisecond
 	for n := 1; ; n *= 4 {
 		started := time.Now()
 		for range n {
 			f()
 		}
-		if took := time.Since(started); took >= least {
+		if took := time.Since(started); took >= minDuration {
 			return float64(took.Microseconds()) / float64(n)
 		}
 	}
 }
 
-// await waits until ok is true.
+// await waits until ok returns true; it returns an error if ctx ends first.
 func await(ctx context.Context, ok func() bool) error {
 	t := time.NewTicker(5 * time.Millisecond)
 	defer t.Stop()
--- a/cmd/capacity/capacity_test.go
+++ b/cmd/capacity/capacity_test.go
@@ -8,8 +8,8 @@
 	"slipcrank.example/cmd/capacity"
 )
 
-// TestPageHasEverySlope compares docs/CAPACITY.md with what the command
-// measures: the names, not the values, which differ from run to run.
+// TestPageHasEverySlope checks that docs/CAPACITY.md lists the names of all slopes.
+// The values are not compared, since they differ from run to run.
 func TestPageHasEverySlope(t *testing.T) {
 	b, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
@@ -28,7 +28,7 @@
 	names := capacity.Names()
 	for _, n := range names {
 		if !listed[n] {
-			t.Errorf("docs/CAPACITY.md lacks %q", n)
+			t.Errorf("docs/CAPACITY.md does not list %q", n)
 		}
 	}
 	if len(names) < 30 {
--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// enginesEach is how many engines one daemon owns at full size.
-	enginesEach   = 1.6
-	templateTries = 20
+	// enginesPerDaemon is the mean number of engines that a daemon owns at full size.
+	enginesPerDaemon = 1.6
+	templateChanges  = 20
 )
 
-// fleetMeasurement watches an idle hall of n daemons, then changes templates.
+// fleetMeasurement measures an idle hall of n daemons, and then template changes there.
 func fleetMeasurement(n int) measurement {
-	name := func(what string) string { return fmt.Sprintf("%s, hall of %d daemons", what, n) }
+	name := func(label string) string { return fmt.Sprintf("%s, hall of %d daemons", label, n) }
 	return measurement{
 		part: "fleet",
 		names: []string{
@@ -32,21 +32,21 @@
 			name("template change in force everywhere, p50"), name("template change in force everywhere, p99"),
 		},
 		run: func(ctx context.Context, c config) ([]Row, error) {
-			before := heap()
-			f, stop, err := startFleet(ctx, devel.WithDaemons(n), devel.WithEngines(int(enginesEach*float64(n))), devel.WithListed(fullDaemons+fullEngines))
+			before := liveHeapBytes()
+			f, stop, err := startFleet(ctx, devel.WithDaemons(n), devel.WithEngines(int(enginesPerDaemon*float64(n))), devel.WithListed(fullDaemons+fullEngines))
 			if err != nil {
 				return nil, err
 			}
 			defer stop()
-			if err := pause.For(ctx, 2*settings.Default().Periods.Sync); err != nil { // let the start settle
+			if err := pause.For(ctx, 2*settings.Default().Periods.Sync); err != nil { // excludes the traffic of the start
 				return nil, err
 			}
-			rows, err := watch(ctx, f, c.watch, name)
+			rows, err := measureIdle(ctx, f, c.idleDuration, name)
 			if err != nil {
 				return nil, err
 			}
-			rows = append(rows, Row{name("memory, a daemon"), (heap() - before) / float64(n) / 1e6, "MB"})
-			h, err := spread(ctx, f)
+			rows = append(rows, Row{name("memory, a daemon"), (liveHeapBytes() - before) / float64(n) / 1e6, "MB"})
+			h, err := measurePropagation(ctx, f)
 			if err != nil {
 				return nil, err
 			}
@@ -58,8 +58,8 @@
 	}
 }
 
-// startFleet starts a dev fleet in one hall and waits until it is ready. The
-// function that it returns ends the fleet.
+// startFleet starts a dev fleet in one hall and waits until it is ready. The returned
+// function stops the fleet.
 func startFleet(ctx context.Context, os ...devel.Option) (*devel.Fleet, func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
 	f, err := devel.Start(ctx, append(os, devel.WithHalls("leon"))...)
@@ -84,56 +84,56 @@
 	}
 }
 
-// usage is what a fleet has used so far.
+// usage holds the resources that a fleet has used so far.
 type usage struct {
-	cpu                  time.Duration
-	peers, outside       int64
-	reads, writes, lists int
+	cpu                     time.Duration
+	peerBytes, outsideBytes int64
+	reads, writes, lists    int
 }
 
-func usageOf(f *devel.Fleet) usage {
+func readUsage(f *devel.Fleet) usage {
 	c := f.Platform.Counts()
-	u := usage{cpu: cpu(), reads: c.Reads, writes: c.Writes, lists: c.Lists}
+	u := usage{cpu: processCPUTime(), reads: c.Reads, writes: c.Writes, lists: c.Lists}
 	for _, n := range f.Nodes {
 		p, o := n.Bytes()
-		u.peers += p
-		u.outside += o
+		u.peerBytes += p
+		u.outsideBytes += o
 	}
 	return u
 }
 
-func watch(ctx context.Context, f *devel.Fleet, d time.Duration, name func(string) string) ([]Row, error) {
-	before := usageOf(f)
+func measureIdle(ctx context.Context, f *devel.Fleet, d time.Duration, name func(string) string) ([]Row, error) {
+	before := readUsage(f)
 	if err := pause.For(ctx, d); err != nil {
 		return nil, err
 	}
-	after := usageOf(f)
+	after := readUsage(f)
 	n := float64(len(f.Nodes))
-	each := func(x float64) float64 { return x / n / d.Seconds() }
+	perDaemonSecond := func(x float64) float64 { return x / n / d.Seconds() }
 	return []Row{
-		{name("processor, an idle daemon"), 100 * each(float64(after.cpu-before.cpu)/float64(time.Second)), "% of a core"},
-		// Each connection is counted by the side that opened it; both sides
-		// carry its bytes.
-		{name("bytes between daemons, a daemon"), 2 * each(float64(after.peers-before.peers)), "B/s"},
-		{name("bytes to platform and engines, a daemon"), each(float64(after.outside - before.outside)), "B/s"},
-		{name("platform reads, a daemon"), each(float64(after.reads - before.reads)), "/s"},
-		{name("platform writes, all"), n * each(float64(after.writes-before.writes)), "/s"},
-		{name("host list reads, a daemon"), each(float64(after.lists - before.lists)), "/s"},
+		{name("processor, an idle daemon"), 100 * perDaemonSecond(float64(after.cpu-before.cpu)/float64(time.Second)), "% of a core"},
+		// A connection's bytes are counted only by the side that opened it, but
+		// they load both sides.
+		{name("bytes between daemons, a daemon"), 2 * perDaemonSecond(float64(after.peerBytes-before.peerBytes)), "B/s"},
+		{name("bytes to platform and engines, a daemon"), perDaemonSecond(float64(after.outsideBytes - before.outsideBytes)), "B/s"},
+		{name("platform reads, a daemon"), perDaemonSecond(float64(after.reads - before.reads)), "/s"},
+		{name("platform writes, all"), n * perDaemonSecond(float64(after.writes-before.writes)), "/s"},
+		{name("host list reads, a daemon"), perDaemonSecond(float64(after.lists - before.lists)), "/s"},
 	}, nil
 }
 
-// newMicros returns a histogram of microseconds up to a minute.
-func newMicros() *hdrhistogram.Histogram {
+// newMicrosHistogram returns a histogram of microseconds, up to a minute.
+func newMicrosHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-// spread changes a template again and again, and measures the time from the
-// acceptance of each change until every daemon has it in force.
-func spread(ctx context.Context, f *devel.Fleet) (*hdrhistogram.Histogram, error) {
-	h := newMicros()
+// measurePropagation changes a template templateChanges times and measures the time from
+// the acceptance of each change until it is in force on every daemon.
+func measurePropagation(ctx context.Context, f *devel.Fleet) (*hdrhistogram.Histogram, error) {
+	h := newMicrosHistogram()
 	log := changes.New(f.Platform.Store())
 	t := devel.Templates()[0]
-	for i := range templateTries {
+	for i := range templateChanges {
 		now, _ := f.Nodes[0].Loop().View().Book.Template(t.Workspace)
 		c, err := log.Apply(ctx, fmt.Sprint("capacity-", i), now.WithCrossover(template.Crossover{
 			State: template.Moving, Percent: i, Epoch: now.Crossover.Epoch + 1,
--- a/cmd/capacity/overhead_test.go
+++ b/cmd/capacity/overhead_test.go
@@ -11,8 +11,8 @@
 	standin "slipcrank.example/standin/engine"
 )
 
-// BenchmarkOverhead measures what a daemon adds to the time to the first byte:
-// lone short requests through it, and straight to the stand-in, in turns.
+// BenchmarkOverhead measures the time to the first byte of single short requests,
+// alternately through a daemon and directly from the stand-in engine.
 func BenchmarkOverhead(b *testing.B) {
 	ctx := context.Background()
 	p := standin.DefaultParams()
@@ -24,7 +24,7 @@
 	defer stop()
 	direct := engineStreams{client: engine.New(web.New()), addr: f.EngineAddrs[0]}.run
 	through := daemonStreams(f)
-	straight, daemon := newMicros(), newMicros()
+	straight, daemon := newMicrosHistogram(), newMicrosHistogram()
 	for b.Loop() {
 		for h, s := range map[interface{ RecordValue(int64) error }]stream{straight: direct, daemon: through} {
 			started := time.Now()
--- a/cmd/capacity/request.go
+++ b/cmd/capacity/request.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	// fullClaims is the calls a second that one hall's batchers would write
-	// if every request at the peak were one that may not be repeated.
-	fullClaims = 2_100 / fullHalls
-	claimTime  = 5 * time.Second
+	// fullClaimsPerSecond is the number of calls a second that the batchers of one
+	// hall write at the peak if no request may be repeated.
+	fullClaimsPerSecond = 2_100 / fullHalls
+	claimDuration       = 5 * time.Second
 
-	streams      = 64
-	streamTokens = 400
-	openStreams  = 400
+	concurrentStreams = 64
+	streamTokens      = 400
+	openStreams       = 400
 )
 
-// bidMeasurement measures what one question for offers costs both sides.
+// bidMeasurement measures the cost of a bid, a placement and an Await call to both sides.
 func bidMeasurement() measurement {
 	return measurement{
 		part: "bid",
@@ -43,8 +43,8 @@
 			"question of a waiting group, processor of both", "question of a waiting group, bytes",
 		},
 		run: func(ctx context.Context, _ config) ([]Row, error) {
-			// One engine, so that an answer has one offer: at full size an owner
-			// has hardly ever two engines with the same model.
+			// With one engine a reply has one offer. At full size, too, an owner hardly
+			// ever has two engines with the same model.
 			f, stop, err := startFleet(ctx, devel.WithDaemons(2), devel.WithEngines(1))
 			if err != nil {
 				return nil, err
@@ -59,21 +59,21 @@
 				Priority: time.Now().UnixMilli(), PrefixHashes: route.NewPrefixHashes(chain), Deadline: time.Now().Add(time.Hour),
 			}
 			a, b := f.Nodes[0], f.Nodes[1]
-			if a.Loop().View().Owner(f.EngineAddrs[0]) != b.Peers() { // ports decide who owns what
+			if a.Loop().View().Owner(f.EngineAddrs[0]) != b.Peers() { // ownership depends on the daemons' ports
 				a, b = b, a
 			}
 			offers, err := a.Client().Bid(ctx, b.Peers(), p)
 			if err != nil || len(offers) == 0 {
-				return nil, errors.Newf("no offers: %v", err)
+				return nil, errors.Newf("bid returned no offers: %v", err)
 			}
-			bid, err := costOf(ctx, a, func(ctx context.Context) error {
+			bid, err := measureCost(ctx, a, func(ctx context.Context) error {
 				_, err := a.Client().Bid(ctx, b.Peers(), p)
 				return err
 			})
 			if err != nil {
 				return nil, err
 			}
-			place, err := costOf(ctx, a, func(ctx context.Context) error {
+			place, err := measureCost(ctx, a, func(ctx context.Context) error {
 				id := uuid.NewString()
 				if _, _, err := a.Client().Place(ctx, b.Peers(), id, offers[0], p); err != nil {
 					return err
@@ -83,10 +83,10 @@
 			if err != nil {
 				return nil, err
 			}
-			await, err := costOf(ctx, a, func(ctx context.Context) error {
+			await, err := measureCost(ctx, a, func(ctx context.Context) error {
 				t, err := a.Client().Await(ctx, b.Peers(), offers[0].Addr, "group", 0, false)
 				if err == nil && t.Total == 0 {
-					return errors.New("the owner does not know its engine")
+					return errors.New("the owner has no load report of its engine")
 				}
 				return err
 			})
@@ -103,19 +103,19 @@
 	}
 }
 
-// cost of one call, in microseconds and bytes.
+// cost is the cost of one call: CPU and wall time in microseconds, and bytes.
 type cost struct{ cpu, time, bytes float64 }
 
-// costOf measures calls from a daemon to another.
-func costOf(ctx context.Context, from *node.Node, call func(context.Context) error) (cost, error) {
+// measureCost returns the mean cost of calls from one daemon to another.
+func measureCost(ctx context.Context, from *node.Node, call func(context.Context) error) (cost, error) {
 	const (
-		calls    = 4000
-		callTime = 500 * time.Millisecond // each call has its own, as in traffic
+		calls       = 4000
+		callTimeout = 500 * time.Millisecond // a timeout per call, as in production traffic
 	)
-	used, started := cpu(), time.Now()
+	used, started := processCPUTime(), time.Now()
 	before, _ := from.Bytes()
 	for range calls {
-		ctx, cancel := context.WithTimeout(ctx, callTime)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		err := call(ctx)
 		cancel()
 		if err != nil {
@@ -124,14 +124,14 @@
 	}
 	after, _ := from.Bytes()
 	return cost{
-		cpu:   float64((cpu() - used).Microseconds()) / calls,
+		cpu:   float64((processCPUTime() - used).Microseconds()) / calls,
 		time:  float64(time.Since(started).Microseconds()) / calls,
 		bytes: float64(after-before) / calls,
 	}, nil
 }
 
-// claimMeasurement measures the transactions that a hall's claims need at the
-// peak, if every request were a call that may not be repeated.
+// claimMeasurement measures the rate of the transactions that write a hall's claims at
+// the peak, if no request may be repeated.
 func claimMeasurement() measurement {
 	return measurement{
 		part:  "claim",
@@ -144,7 +144,7 @@
 			var w sync.WaitGroup
 			rows := 0
 			started := time.Now()
-			for at := time.Duration(0); at < claimTime; at += time.Second / fullClaims {
+			for at := time.Duration(0); at < claimDuration; at += time.Second / fullClaimsPerSecond {
 				if err := pause.For(ctx, time.Until(started.Add(at))); err != nil {
 					return nil, err
 				}
@@ -153,20 +153,20 @@
 						go x.Run(ctx)
 					}
 				}
-				rows += 2 // the claim, and its answer
-				w.Go(func() { callOnce(ctx, g, m.Store()) })
+				rows += 2 // the claim and its answer
+				w.Go(func() { claimOnce(ctx, g, m.Store()) })
 			}
 			w.Wait()
 			commits, _ := m.Counts()
 			return []Row{
 				{"claims gathered into one transaction, 420 calls/s in a hall", float64(rows) / float64(commits), "rows"},
-				{"transactions, 420 calls/s in a hall", float64(commits) / claimTime.Seconds(), "/s"},
+				{"transactions, 420 calls/s in a hall", float64(commits) / claimDuration.Seconds(), "/s"},
 			}, nil
 		},
 	}
 }
 
-func callOnce(ctx context.Context, gs []*claim.Batcher, s store.Store) {
+func claimOnce(ctx context.Context, gs []*claim.Batcher, s store.Store) {
 	key := uuid.Must(uuid.NewV7()).String()
 	g := gs[int(key[len(key)-1])%len(gs)]
 	c, err := claim.New(s, claim.WithWriter(g.Write)).Begin(ctx, "till", key)
@@ -175,8 +175,8 @@
 	}
 }
 
-// streamMeasurement compares streams through a daemon with streams straight
-// from the engine, in the same run.
+// streamMeasurement compares streams through a daemon with streams directly from the
+// engine, in the same run.
 func streamMeasurement() measurement {
 	return measurement{
 		part: "stream",
@@ -201,33 +201,33 @@
 func streamRows(ctx context.Context, f *devel.Fleet) ([]Row, error) {
 	direct := engineStreams{client: engine.New(web.New()), addr: f.EngineAddrs[0]}
 	through := daemonStreams(f)
-	longDirect, err := cpuOf(ctx, direct.run, streams, streamTokens)
+	longDirect, err := streamsCPUMicros(ctx, direct.run, concurrentStreams, streamTokens)
 	if err != nil {
 		return nil, err
 	}
-	longThrough, err := cpuOf(ctx, through, streams, streamTokens)
+	longThrough, err := streamsCPUMicros(ctx, through, concurrentStreams, streamTokens)
 	if err != nil {
 		return nil, err
 	}
-	oneDirect, err := cpuOf(ctx, direct.run, streams, 1)
+	oneDirect, err := streamsCPUMicros(ctx, direct.run, concurrentStreams, 1)
 	if err != nil {
 		return nil, err
 	}
-	oneThrough, err := cpuOf(ctx, through, streams, 1)
+	oneThrough, err := streamsCPUMicros(ctx, through, concurrentStreams, 1)
 	if err != nil {
 		return nil, err
 	}
-	request := (oneThrough - oneDirect) / streams
-	tokens := float64(streams * (streamTokens - 1))
-	memory, err := openMemory(ctx, through, direct.run)
+	request := (oneThrough - oneDirect) / concurrentStreams
+	tokens := float64(concurrentStreams * (streamTokens - 1))
+	memory, err := openStreamBytes(ctx, through, direct.run)
 	if err != nil {
 		return nil, err
 	}
-	d50, d99, err := firstByte(ctx, direct.run)
+	d50, d99, err := firstByteQuantiles(ctx, direct.run)
 	if err != nil {
 		return nil, err
 	}
-	t50, t99, err := firstByte(ctx, through)
+	t50, t99, err := firstByteQuantiles(ctx, through)
 	if err != nil {
 		return nil, err
 	}
@@ -242,8 +242,7 @@
 	}, nil
 }
 
-// stream runs one stream of tokens and calls first when its first token is
-// there.
+// stream runs one stream of tokens and calls first on arrival of the first token.
 type stream func(ctx context.Context, tokens int, first func()) error
 
 type engineStreams struct {
@@ -280,19 +279,19 @@
 	}
 }
 
-// cpuOf returns the processor time of n streams at once, in microseconds.
-func cpuOf(ctx context.Context, s stream, n, tokens int) (float64, error) {
+// streamsCPUMicros returns the CPU time of n concurrent streams, in microseconds.
+func streamsCPUMicros(ctx context.Context, s stream, n, tokens int) (float64, error) {
 	const rounds = 3
-	used := cpu()
+	used := processCPUTime()
 	for range rounds {
-		if err := atOnce(n, func() error { return s(ctx, tokens, func() {}) }); err != nil {
+		if err := runConcurrently(n, func() error { return s(ctx, tokens, func() {}) }); err != nil {
 			return 0, err
 		}
 	}
-	return float64((cpu() - used).Microseconds()) / rounds, nil
+	return float64((processCPUTime() - used).Microseconds()) / rounds, nil
 }
 
-func atOnce(n int, f func() error) error {
+func runConcurrently(n int, f func() error) error {
 	errs := make([]error, n)
 	var w sync.WaitGroup
 	for i := range n {
@@ -307,41 +306,41 @@
 	return nil
 }
 
-// openMemory returns the memory that one open stream takes more through a
-// daemon than straight to the engine.
-func openMemory(ctx context.Context, through, direct stream) (float64, error) {
-	held := func(s stream) (float64, error) {
+// openStreamBytes returns how much more memory an open stream takes through a daemon
+// than directly from the engine.
+func openStreamBytes(ctx context.Context, through, direct stream) (float64, error) {
+	bytesPerStream := func(s stream) (float64, error) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
 		var started, ended sync.WaitGroup
 		started.Add(openStreams)
-		before := heap()
+		before := liveHeapBytes()
 		for range openStreams {
 			ended.Go(func() {
 				first := sync.OnceFunc(started.Done)
-				_ = s(ctx, 2000, first) // it is broken off
+				_ = s(ctx, 2000, first) // ends with an error when ctx is cancelled
 				first()
 			})
 		}
 		started.Wait()
-		after := heap()
+		after := liveHeapBytes()
 		cancel()
 		ended.Wait()
 		return (after - before) / openStreams, nil
 	}
-	t, err := held(through)
+	t, err := bytesPerStream(through)
 	if err != nil {
 		return 0, err
 	}
-	d, err := held(direct)
+	d, err := bytesPerStream(direct)
 	return t - d, err
 }
 
-// firstByte returns p50 and p99 of the time to the first token of lone short
+// firstByteQuantiles returns the p50 and p99 of the time to first token of single short
 // requests, in milliseconds.
-func firstByte(ctx context.Context, s stream) (p50, p99 float64, err error) {
+func firstByteQuantiles(ctx context.Context, s stream) (p50, p99 float64, err error) {
 	const tries = 200
-	h := newMicros()
+	h := newMicrosHistogram()
 	for range tries {
 		started := time.Now()
 		err := s(ctx, 1, func() { _ = h.RecordValue(time.Since(started).Microseconds()) })
--- a/cmd/capacity/start.go
+++ b/cmd/capacity/start.go
@@ -13,13 +13,13 @@
 	"slipcrank.example/standin/platform"
 )
 
-// startDaemons is how many daemons start at the same moment: a whole hall.
+// startDaemons is the number of daemons that start at the same time: a whole hall.
 const startDaemons = 74
 
-// startMeasurement starts a whole hall at once, on a platform that holds the
+// startMeasurement starts a whole hall at once, on a platform that stores the
 // templates of all workspaces.
 func startMeasurement() measurement {
-	name := func(what string) string { return fmt.Sprintf("%s, %d daemons start at once", what, startDaemons) }
+	name := func(label string) string { return fmt.Sprintf("%s, %d daemons start at once", label, startDaemons) }
 	return measurement{
 		part: "start",
 		names: []string{
@@ -32,28 +32,29 @@
 			if err != nil {
 				return nil, err
 			}
-			f, stop, peak, took, err := startAtOnce(ctx, s)
+			f, stop, peak, took, err := startConcurrently(ctx, s)
 			if err != nil {
 				return nil, err
 			}
 			defer stop()
-			u, c := usageOf(f), f.Platform.Counts()
+			u, c := readUsage(f), f.Platform.Counts()
 			return []Row{
 				{name("all templates in force everywhere"), took.Seconds(), "s"},
 				{name("snapshots read from the platform"), float64(c.Gets), ""},
 				{name("platform reads until then, a daemon"), float64(c.Reads) / startDaemons, ""},
 				{name("platform reads in the busiest second"), float64(peak), "/s"},
 				{name("requests refused by the platform"), float64(c.Refused), ""},
-				{name("bytes from the platform"), float64(u.outside) / 1e6, "MB"},
-				{name("bytes between daemons"), float64(u.peers) / 1e6, "MB"},
+				{name("bytes from the platform"), float64(u.outsideBytes) / 1e6, "MB"},
+				{name("bytes between daemons"), float64(u.peerBytes) / 1e6, "MB"},
 			}, nil
 		},
 	}
 }
 
-// startAtOnce starts a hall and waits until every daemon has all templates. It
-// returns the most reads that the platform saw in one second, and the time.
-func startAtOnce(ctx context.Context, s store.Store) (*devel.Fleet, func(), int, time.Duration, error) {
+// startConcurrently starts a hall and waits until every daemon has all templates. It
+// returns the fleet, a function that stops it, the highest number of reads from the
+// platform in one second, and the time that the start took.
+func startConcurrently(ctx context.Context, s store.Store) (*devel.Fleet, func(), int, time.Duration, error) {
 	started := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	f, err := devel.Start(ctx, devel.WithHalls("leon"), devel.WithDaemons(startDaemons), devel.WithEngines(1),
@@ -67,8 +68,8 @@
 		cancel()
 	}
 	peaks := make(chan int, 1)
-	watched, done := context.WithCancel(ctx)
-	go func() { peaks <- busiest(watched, f) }()
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	go func() { peaks <- peakReadsPerSecond(watchCtx, f) }()
 	err = await(ctx, func() bool {
 		for _, n := range f.Nodes {
 			if n.Loop().View().Book.Number() < fullWorkspaces {
@@ -78,7 +79,7 @@
 		return true
 	})
 	took := time.Since(started)
-	done()
+	stopWatching()
 	if err != nil {
 		stop()
 		return nil, nil, 0, 0, err
@@ -86,21 +87,22 @@
 	return f, stop, <-peaks, took, nil
 }
 
-// busiest returns the most reads of the platform in a second, until ctx ends.
-func busiest(ctx context.Context, f *devel.Fleet) int {
-	most, before := 0, 0
+// peakReadsPerSecond samples the platform's reads each second until ctx ends, and returns
+// the highest number of reads in one second.
+func peakReadsPerSecond(ctx context.Context, f *devel.Fleet) int {
+	peak, before := 0, 0
 	for {
 		err := pause.For(ctx, time.Second)
 		now := f.Platform.Counts().Reads
-		most, before = max(most, now-before), now
+		peak, before = max(peak, now-before), now
 		if err != nil {
-			return most
+			return peak
 		}
 	}
 }
 
-// fullStore returns a store with the templates of all workspaces, and a
-// snapshot of them.
+// fullStore returns a store with the templates of all workspaces and a snapshot of
+// them.
 func fullStore(ctx context.Context) (store.Store, error) {
 	s := store.NewMemory().Store()
 	log := changes.New(s)
--- a/cmd/capacity/state.go
+++ b/cmd/capacity/state.go
@@ -15,7 +15,7 @@
 	"slipcrank.example/daemon/control"
 )
 
-// The full size, from the users' first letter.
+// Full size of the deployment, from the users' requirements.
 const (
 	fullDaemons    = 370
 	fullEngines    = 600
@@ -23,7 +23,7 @@
 	fullHalls      = 5
 )
 
-// stateMeasurement measures the state that every daemon holds, at full size.
+// stateMeasurement measures the state that each daemon keeps at full size.
 func stateMeasurement() measurement {
 	return measurement{
 		part: "state",
@@ -36,29 +36,29 @@
 		run: func(context.Context, config) ([]Row, error) {
 			var rows []Row
 			add := func(name string, v float64, unit string) { rows = append(rows, Row{name, v, unit}) }
-			before := heap()
-			book := fullBook()
-			add("memory, a workspace's template", (heap()-before)/fullWorkspaces, "B")
-			before = heap()
+			before := liveHeapBytes()
+			templates := fullTemplateSet()
+			add("memory, a workspace's template", (liveHeapBytes()-before)/fullWorkspaces, "B")
+			before = liveHeapBytes()
 			members := fullMembers()
-			add("memory, a member", (heap()-before)/fullDaemons, "B")
-			before = heap()
+			add("memory, a member", (liveHeapBytes()-before)/fullDaemons, "B")
+			before = liveHeapBytes()
 			engines := fullDirectory()
-			add("memory, an engine's record", (heap()-before)/fullEngines, "B")
-			before = heap()
+			add("memory, an engine's record", (liveHeapBytes()-before)/fullEngines, "B")
+			before = liveHeapBytes()
 			index, blocks := route.NewIndex(), 50_000
 			for i := range blocks {
 				index.Add(uint64(i+1), uint64(i)*2654435761)
 			}
-			add("memory, a block of a prefix index", (heap()-before)/float64(blocks), "B")
+			add("memory, a block of a prefix index", (liveHeapBytes()-before)/float64(blocks), "B")
 			runtime.KeepAlive(index)
-			n := book.Number()
+			n := templates.Number()
 			next := []template.Change{{Number: n + 1, Template: exampleTemplate(7)}}
-			add("template change in force, 19,000 workspaces", perCall(func() { book.Apply(next) }), "us")
-			add("view rebuilt, 370 members and 600 engines", viewTime(members, engines), "us")
-			add("offer of an engine with 50 placements", offerTime(), "us")
+			add("template change in force, 19,000 workspaces", microsPerCall(func() { templates.Apply(next) }), "us")
+			add("view rebuilt, 370 members and 600 engines", viewRebuildMicros(members, engines), "us")
+			add("offer of an engine with 50 placements", offerMicros(), "us")
 			text := strings.Repeat("0123456789abcdef", 1_000_000*prefix.BytesPerToken/16)
-			add("names of a prompt of 1M tokens", perCall(func() { prefix.Chain("m", text) }), "us")
+			add("names of a prompt of 1M tokens", microsPerCall(func() { prefix.Chain("m", text) }), "us")
 			return rows, nil
 		},
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-func fullBook() *template.Set {
+func fullTemplateSet() *template.Set {
 	ts := make([]template.Template, fullWorkspaces)
 	for i := range ts {
 		ts[i] = exampleTemplate(i)
@@ -107,8 +107,9 @@
 	return d.All()
 }
 
-// viewTime measures what one change of members costs the control goroutine.
-func viewTime(ms []member.Member, es []directory.Engine) float64 {
+// viewRebuildMicros measures the time that the control goroutine takes to apply one
+// change of a member and to rebuild its view.
+func viewRebuildMicros(ms []member.Member, es []directory.Engine) float64 {
 	l := control.New(member.Member{Addr: "127.0.0.1:1", Hall: "hall-0", Incarnation: 1}, control.WithState(func(s *control.State) {
 		s.MergeMembers(ms)
 		s.MergeEngines(es)
@@ -117,7 +118,7 @@
 	defer cancel()
 	go l.Run(ctx)
 	n := uint32(1)
-	return perCall(func() {
+	return microsPerCall(func() {
 		n++
 		l.Do(ctx, func(s *control.State) {
 			m := ms[1]
@@ -127,7 +128,7 @@
 	})
 }
 
-func offerTime() float64 {
+func offerMicros() float64 {
 	now := time.Now()
 	l := route.NewLoadTracker("e", now)
 	l.ApplyReport(route.Load{Taken: now, Incarnation: 1, Total: 400_000}, now)
@@ -136,5 +137,5 @@
 		p.Priority = int64(i)
 		l.Place(fmt.Sprint(i), p, now)
 	}
-	return perCall(func() { l.Offer(p, now) })
+	return microsPerCall(func() { l.Offer(p, now) })
 }
--- a/cmd/command/capacity.go
+++ b/cmd/command/capacity.go
@@ -42,7 +42,7 @@
 		}
 		klog.SetOutput(io.Discard) // the log of hundreds of daemons in one process is not readable
 		klog.LogToStderr(false)
-		os := []capacity.Option{capacity.WithFleets(ns...), capacity.WithWatch(watch)}
+		os := []capacity.Option{capacity.WithFleetSizes(ns...), capacity.WithIdleDuration(watch)}
 		if parts != "" {
 			os = append(os, capacity.WithParts(strings.Split(parts, ",")...))
 		}
