--- a/cmd/policy/policies.go
+++ b/cmd/policy/policies.go
@@ -86,7 +86,7 @@
 // owners implements the policy of slipcrank: each engine's load is tracked by one
 // owner, and an entry host gets offers from a few of them.
 type owners struct {
-	scene    Scenario
+	scenario Scenario
 	mu       sync.Mutex
 	rand     *rand.Rand
 	names    []string
@@ -99,7 +99,7 @@
 // OwnersWithCandidates is [Owners] with another number of engines to get offers for.
 func OwnersWithCandidates(n int) Policy {
 	return Policy{Name: "owners, asking " + strconv.Itoa(n), New: func(s Scenario) Placer {
-		o := &owners{scene: s, rand: rand.New(rand.NewPCG(s.Seed, 3))}
+		o := &owners{scenario: s, rand: rand.New(rand.NewPCG(s.Seed, 3))}
 		for i := range s.Engines {
 			o.names = append(o.names, strconv.Itoa(i))
 			o.trackers = append(o.trackers, route.NewLoadTracker(strconv.Itoa(i), time.Now()))
@@ -140,7 +140,7 @@
 		e, _ := strconv.Atoi(route.Owner(strconv.FormatUint(q.Chain[0], 16), o.names))
 		out = append(out, e)
 	}
-	for _, i := range o.rand.Perm(o.scene.Engines) {
+	for _, i := range o.rand.Perm(o.scenario.Engines) {
 		if len(out) < n && !slices.Contains(out, i) {
 			out = append(out, i)
 		}
--- a/cmd/policy/policy.go
+++ b/cmd/policy/policy.go
@@ -251,10 +251,10 @@
 
 // simulation is the state of one run of a scenario.
 type simulation struct {
-	scene   Scenario
-	engines []*engine.Engine
-	placer  Placer
-	start   time.Time
+	scenario Scenario
+	engines  []*engine.Engine
+	placer   Placer
+	start    time.Time
 
 	mu     sync.Mutex
 	result Result
@@ -268,7 +268,7 @@
 // Run simulates a scenario under a policy.
 func Run(s Scenario, p Policy) Result {
 	ctx, cancel := context.WithCancel(context.Background())
-	x := &simulation{scene: s, placer: p.New(s), start: time.Now(), result: Result{Policy: p.Name, FinishedTokens: map[string]float64{}, UncachedTokens: map[string]float64{}}}
+	x := &simulation{scenario: s, placer: p.New(s), start: time.Now(), result: Result{Policy: p.Name, FinishedTokens: map[string]float64{}, UncachedTokens: map[string]float64{}}}
 	for b := range x.result.FirstToken {
 		x.result.FirstToken[b] = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	}
@@ -316,7 +316,7 @@
 
 func (x *simulation) runRequest(q Request) {
 	time.Sleep(q.Arrival)
-	q.Prompt.Deadline = time.Now().Add(x.scene.Timeouts[q.Urgency])
+	q.Prompt.Deadline = time.Now().Add(x.scenario.Timeouts[q.Urgency])
 	if x.placer.Priority != nil {
 		q.Prompt.Priority = x.placer.Priority(q, time.Now())
 	}
@@ -346,7 +346,7 @@
 	x.record(func(r *Result) {
 		_ = r.FirstToken[q.Bucket].RecordValue(firstToken.Microseconds())
 		r.Finished++
-		if time.Since(x.start).Seconds() < x.scene.Seconds {
+		if time.Since(x.start).Seconds() < x.scenario.Seconds {
 			r.FinishedTokens[q.Prompt.Workspace] += float64(q.Prompt.Tokens)
 			r.UncachedTokens[q.Prompt.Workspace] += float64(q.Prompt.Tokens - cached)
 		}
