--- a/cmd/command/suspects_count.go
+++ b/cmd/command/suspects_count.go
@@ -83,9 +83,9 @@
 
 func (c *suspectCount) add(l suspectLine) {
 	switch l.Event {
-	case event.ServerEnded.Number:
+	case event.ServerCrashed.Number:
 		c.Found++
-	case event.EndProved.Number:
+	case event.CrashConfirmed.Number:
 		c.Proved++
 	case event.SuspectChanged.Number:
 		c.Stages[l.Stage]++
--- a/daemon/callers/server.go
+++ b/daemon/callers/server.go
@@ -151,7 +151,7 @@
 	streamed := false
 	defer func() {
 		if r := recover(); r != nil {
-			event.HandlerPanic.Error(errors.Newf("%v", r), "path", string(c.Path()))
+			event.InternalError.Error(errors.Newf("%v", r), "path", string(c.Path()))
 			s.respondFault(c, "", fault.From(errors.Newf("%v", r)))
 		}
 		if !streamed {
--- a/daemon/calls/once.go
+++ b/daemon/calls/once.go
@@ -81,7 +81,7 @@
 		return claim.Answer{}, o.recordNotRun(ctx, c, err)
 	}
 	o.metrics.Count("claims_total", 1, "result", "unknown")
-	event.ClaimUnknown.Warn("workspace", workspace, "key", key, "cause", err)
+	event.CallOutcomeUnknown.Warn("workspace", workspace, "key", key, "cause", err)
 	o.background(func() { markLost(c) })
 	return claim.Answer{}, outcomeUnknown(err)
 }
--- a/daemon/control/owned.go
+++ b/daemon/control/owned.go
@@ -176,7 +176,7 @@
 	x := o.load.CacheIndex()
 	if p.Resync {
 		if x.LastEvent() > 0 {
-			event.CacheResync.Info("engine", p.Addr, "blocks", len(p.Page.Blocks))
+			event.PrefixIndexResynced.Info("engine", p.Addr, "blocks", len(p.Page.Blocks))
 		}
 		x.Resync(p.Page.Blocks, p.Page.Number)
 		return
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -178,7 +178,7 @@
 	if updated.Number() == s.templates.Number() {
 		return
 	}
-	event.TemplatesMoved.Info("from", s.templates.Number(), "to", updated.Number())
+	event.TemplateChangesInForce.Info("from", s.templates.Number(), "to", updated.Number())
 	s.templates, s.recentChanges, s.templatesSince, s.dirty = updated, recent, s.now(), true
 	s.ObserveTemplateNumber(updated.Number())
 }
@@ -206,10 +206,10 @@
 	s.platform = platformState{down: !ok, since: s.now()}
 	s.dirty = true
 	if ok {
-		event.PlatformBack.Info()
+		event.PlatformReachable.Info()
 		return
 	}
-	event.PlatformLost.Warn()
+	event.PlatformUnreachable.Warn()
 }
 
 // Drain marks the daemon as draining, and its member record as leaving.
--- a/daemon/dispatch/reservation.go
+++ b/daemon/dispatch/reservation.go
@@ -62,7 +62,7 @@
 			failed = 0
 		}
 	}
-	event.GroupBroken.Warn("request", x.request.ID, "engine", m.Addr)
+	event.GroupEngineLost.Warn("request", x.request.ID, "engine", m.Addr)
 	h.cancel(&lostMemberError{m.Addr})
 }
 
@@ -106,7 +106,7 @@
 				return
 			}
 			if time.Since(begun) > reservationTTL {
-				event.ReleaseLost.Warn("reservation", id, "engine", m.Addr, "error", err.Error())
+				event.ReleaseUnconfirmed.Warn("reservation", id, "engine", m.Addr, "error", err.Error())
 				return
 			}
 			_ = pause.UpTo(context.Background(), maxReleaseRetryDelay) // this context never ends
--- a/daemon/dispatch/suspects.go
+++ b/daemon/dispatch/suspects.go
@@ -73,7 +73,7 @@
 func (d *Dispatcher) MergeSuspects(rs []quarantine.Record) {
 	for _, r := range rs {
 		if err := r.Validate(); err != nil {
-			event.SuspectUnusable.Warn("error", err)
+			event.SuspectRecordUnusable.Warn("error", err)
 			continue
 		}
 		d.suspects.logChanges(d.suspects.registry.Merge(r, d.suspects.clock.Now()))
@@ -85,7 +85,7 @@
 func (s *suspects) logChanges(changes []quarantine.Change) {
 	for _, k := range changes {
 		if k.Removed {
-			event.SuspectForgotten.Info("print", k.Record.Fingerprint, "workspace", k.Record.Workspace)
+			event.SuspectRemoved.Info("print", k.Record.Fingerprint, "workspace", k.Record.Workspace)
 			continue
 		}
 		event.SuspectChanged.Warn("print", k.Record.Fingerprint, "workspace", k.Record.Workspace, "stage", k.Stage, "ended", len(k.Record.Crashes))
@@ -211,7 +211,7 @@
 		return
 	}
 	start := instanceID(addr, v.Incarnation(addr))
-	event.EngineEnded.Warn("request", x.request.ID, "engine", start, "workspace", x.request.Workspace.Workspace)
+	event.EngineCrashed.Warn("request", x.request.ID, "engine", start, "workspace", x.request.Workspace.Workspace)
 	x.suspects.reconcile(v) // adds this incarnation to the roster, to detect a later one
 	id := x.identity()
 	x.suspects.logChanges(x.suspects.registry.AddCrash(id, quarantine.Crash{
--- a/daemon/entry/announce.go
+++ b/daemon/entry/announce.go
@@ -26,7 +26,7 @@
 	s := e.settings.Load()
 	row, err := json.Marshal(watch.Host{Addr: s.Listen.News, Hall: s.Hall, Link: s.Link, Number: e.startNumber})
 	if err != nil {
-		e.log.Write(event.NewsLost, slog.String("doing", "announce"), slog.String("error", err.Error()))
+		e.log.Write(event.UpdateLost, slog.String("doing", "announce"), slog.String("error", err.Error()))
 		return
 	}
 	for ctx.Err() == nil {
@@ -40,7 +40,7 @@
 			_ = pause.For(ctx, announceInterval) // the loop checks ctx
 			continue
 		}
-		e.log.Write(event.PlatformLost, slog.String("doing", "announce"), slog.String("error", err.Error()))
+		e.log.Write(event.PlatformUnreachable, slog.String("doing", "announce"), slog.String("error", err.Error()))
 		_ = pause.UpTo(ctx, writeTimeout) // the loop checks ctx
 	}
 }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -242,7 +242,7 @@
 // serve serves on l until s is closed, and logs any other error.
 func (e *Entry) serve(s interface{ Serve(net.Listener) error }, l net.Listener) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		e.log.Write(event.HandlerPanic, slog.String("listener", l.Addr().String()), slog.String("error", err.Error()))
+		e.log.Write(event.InternalError, slog.String("listener", l.Addr().String()), slog.String("error", err.Error()))
 	}
 }
 
@@ -277,7 +277,7 @@
 // if so: servers have closed them in the meantime, and the packets that say so were lost.
 func (e *Entry) detectSuspension() {
 	if d := e.clock.Refresh(); d > 0 {
-		e.log.Write(event.DaemonWoke, slog.Duration("suspended", d))
+		e.log.Write(event.HostSuspended, slog.Duration("suspended", d))
 		e.pool.Sweep(func(string) bool { return false })
 	}
 }
--- a/daemon/entry/neighbors.go
+++ b/daemon/entry/neighbors.go
@@ -104,7 +104,7 @@
 		}
 		a, err := netip.ParseAddrPort(h.Addr)
 		if err != nil {
-			e.log.Write(event.NewsLost, slog.String("of", h.Name), slog.String("error", err.Error()))
+			e.log.Write(event.UpdateLost, slog.String("of", h.Name), slog.String("error", err.Error()))
 			continue
 		}
 		hosts = append(hosts, broadcast.Host{Name: h.Name, Hall: h.Hall, Addr: a, Link: h.Link, StartNumber: h.Number})
@@ -122,7 +122,7 @@
 	})
 	e.exchange.SetRoutes(r)
 	if r.Forwarder != old.Forwarder || !slices.Equal(r.Remote, old.Remote) {
-		e.log.Write(event.NewsRouted, slog.String("forwarder", r.Forwarder.String()),
+		e.log.Write(event.ForwardersChosen, slog.String("forwarder", r.Forwarder.String()),
 			slog.Any("remote", r.Remote), slog.Int("hall", len(r.Hall)), slog.Int("direct", len(r.Direct)))
 	}
 	return r
--- a/daemon/entry/notices.go
+++ b/daemon/entry/notices.go
@@ -23,7 +23,7 @@
 	for _, h := range others {
 		a, err := netip.ParseAddrPort(h.Addr)
 		if err != nil {
-			e.log.Write(event.NewsLost, slog.String("of", h.Name), slog.String("error", err.Error()))
+			e.log.Write(event.UpdateLost, slog.String("of", h.Name), slog.String("error", err.Error()))
 			continue
 		}
 		hosts = append(hosts, grants.Host{Name: h.Name, Hall: h.Hall, Addr: a, Number: h.Number})
--- a/daemon/entry/operators.go
+++ b/daemon/entry/operators.go
@@ -80,6 +80,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		e.log.Write(event.HandlerPanic, slog.String("doing", "answer an operator"), slog.String("error", err.Error()))
+		e.log.Write(event.InternalError, slog.String("doing", "answer an operator"), slog.String("error", err.Error()))
 	}
 }
--- a/daemon/entry/readers.go
+++ b/daemon/entry/readers.go
@@ -236,7 +236,7 @@
 	st.sourceChoice = c
 	e.watcher.SetPolling(c.queries, c.pause)
 	e.relayClient.SetServers(c.sources)
-	e.log.Write(event.RelayChosen, slog.Bool("asks", c.queries != watch.PollNothing), slog.String("hears", strings.Join(c.sources, ",")),
+	e.log.Write(event.SourcesChosen, slog.Bool("asks", c.queries != watch.PollNothing), slog.String("hears", strings.Join(c.sources, ",")),
 		slog.Int("others", e.neighbors.Load().otherHosts))
 }
 
--- a/daemon/entry/stop.go
+++ b/daemon/entry/stop.go
@@ -41,7 +41,7 @@
 	}
 	left := e.gateway.Active()
 	if left > 0 {
-		e.log.Write(event.DaemonGaveUp, slog.Int64("active", left))
+		e.log.Write(event.DaemonStoppedWithRequests, slog.Int64("active", left))
 	} else {
 		e.log.Write(event.DaemonStopped)
 	}
@@ -57,11 +57,11 @@
 // effect at once; the host's name, its hall and all addresses only at the next start.
 func (e *Entry) Reload(s settings.Entry, err error) {
 	if err != nil {
-		e.log.Write(event.SettingsBad, slog.String("error", err.Error()))
+		e.log.Write(event.SettingsUnusable, slog.String("error", err.Error()))
 		return
 	}
 	old := e.settings.Load()
 	s.Host, s.Hall, s.Listen, s.Platform = old.Host, old.Hall, old.Listen, old.Platform
 	e.settings.Store(&s)
-	e.log.Write(event.SettingsRead, slog.Bool("changed", s != *old))
+	e.log.Write(event.SettingsReloaded, slog.Bool("changed", s != *old))
 }
--- a/daemon/entry/suspects.go
+++ b/daemon/entry/suspects.go
@@ -155,7 +155,7 @@
 		if err == nil {
 			return true
 		}
-		e.log.Write(event.PlatformLost, slog.String("doing", "store a suspect"), slog.String("error", err.Error()))
+		e.log.Write(event.PlatformUnreachable, slog.String("doing", "store a suspect"), slog.String("error", err.Error()))
 		_ = pause.UpTo(ctx, writeTimeout) // the loop checks ctx
 	}
 	return false
--- a/daemon/gateway/notices.go
+++ b/daemon/gateway/notices.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if leaving && g.notices.SetLeaving(server.ID, g.clock.Now()) {
-		g.log.Write(event.ServerSaysLeaving, slog.String("id", c.id), slog.String("server", server.ID), slog.String("by", ownEvidence))
+		g.log.Write(event.ServerReportsLeaving, slog.String("id", c.id), slog.String("server", server.ID), slog.String("by", ownEvidence))
 		g.noticeSender.SendLeaving(server.ID)
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	if now := g.clock.Now(); backoff > 0 {
 		g.notices.ExtendBackoff(server.ID, now+backoff, now)
-		g.log.Write(event.ServerWantsRest, slog.String("id", c.id), slog.String("server", server.ID), slog.Duration("rest", backoff))
+		g.log.Write(event.ServerRequestsBackoff, slog.String("id", c.id), slog.String("server", server.ID), slog.Duration("rest", backoff))
 	}
 }
 
@@ -72,14 +72,14 @@
 	if !g.notices.SetReportedLeaving(server, g.clock.Now()) {
 		return // each host that got such an answer reports it
 	}
-	g.log.Write(event.ServerSaysLeaving, slog.String("server", server), slog.String("by", by))
+	g.log.Write(event.ServerReportsLeaving, slog.String("server", server), slog.String("by", by))
 }
 
 // logUnreadable logs, once for each server, that a notice in an answer can't be parsed.
 // The values reported before stay in effect.
 func (g *Gateway) logUnreadable(c *call, server backend.Server, err error) {
 	if g.notices.SetUnreadable(server.ID, g.clock.Now()) {
-		g.log.Write(event.ServerUnreadable, slog.String("id", c.id), slog.String("server", server.ID), slog.String("error", err.Error()))
+		g.log.Write(event.ServerNoticeUnreadable, slog.String("id", c.id), slog.String("server", server.ID), slog.String("error", err.Error()))
 	}
 }
 
@@ -152,7 +152,7 @@
 // it, or is ownEvidence.
 func (g *Gateway) logLimit(by, server string, l notice.Limit) {
 	g.metrics.Count("gateway_server_limits", 1, "own", strconv.FormatBool(by == ownEvidence))
-	g.log.Write(event.ServerLimit, slog.String("server", server), slog.Bool("limited", l.Limited),
+	g.log.Write(event.ServerLimitChanged, slog.String("server", server), slog.Bool("limited", l.Limited),
 		slog.Float64("rate", l.Rate), slog.Uint64("version", l.Version), slog.String("by", by))
 }
 
--- a/daemon/gateway/shares.go
+++ b/daemon/gateway/shares.go
@@ -71,7 +71,7 @@
 	label, first := g.shareRefusals.record(c.workspace.Name, time.Now())
 	g.metrics.Count("gateway_over_share", 1, "workspace", label)
 	if first {
-		g.log.Write(event.WorkspaceHeld, slog.String("workspace", c.workspace.Name), slog.String("id", c.id),
+		g.log.Write(event.WorkspaceLimited, slog.String("workspace", c.workspace.Name), slog.String("id", c.id),
 			slog.Float64("price", p.Share.Weight), slog.Float64("part", p.Share.Fraction), slog.Int("workspaces", p.Share.Workspaces),
 			slog.Float64("full", p.SlotScarcity))
 	}
@@ -81,7 +81,7 @@
 // and notices, and cancels calls that are stuck. It must be called regularly, and not concurrently.
 func (g *Gateway) Maintain(now time.Time) {
 	for _, w := range g.shareRefusals.expire(now) {
-		g.log.Write(event.WorkspaceReleased, slog.String("workspace", w))
+		g.log.Write(event.WorkspaceLimitLifted, slog.String("workspace", w))
 	}
 	g.updateSuspects(g.clock.Now())
 	g.pruneNotices(g.clock.Now())
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -119,7 +119,7 @@
 	if listed && !g.portClosed(server) {
 		return false
 	}
-	g.log.Write(event.ServerEnded, slog.String("server", server.ID), slog.String("id", c.id),
+	g.log.Write(event.ServerCrashed, slog.String("server", server.ID), slog.String("id", c.id),
 		slog.String("same", c.headHash.String()), slog.String("workspace", c.workspace.Name), slog.String("why", out.reason),
 		slog.Bool("apart", out.isolated), slog.Bool("replaced", replaced))
 	changes := g.quarantine.AddCrash(c.identity().Identity(), quarantine.Crash{
@@ -173,7 +173,7 @@
 	changed := false
 	for _, r := range rs {
 		if err := r.Validate(); err != nil {
-			g.log.Write(event.NewsLost, slog.String("by", by), slog.String("error", err.Error()))
+			g.log.Write(event.UpdateLost, slog.String("by", by), slog.String("error", err.Error()))
 			continue
 		}
 		changes := g.quarantine.Merge(r, g.clock.Now())
@@ -194,7 +194,7 @@
 		}
 		e := event.SuspectChanged
 		if change.Removed {
-			e = event.SuspectForgotten
+			e = event.SuspectRemoved
 		}
 		g.log.Write(e, slog.String("same", change.Record.HeadHash.String()), slog.String("print", change.Record.Fingerprint.String()),
 			slog.String("workspace", change.Record.Workspace), slog.String("stage", change.Stage.String()),
--- a/daemon/gateway/witness.go
+++ b/daemon/gateway/witness.go
@@ -84,7 +84,7 @@
 	if len(rs) == 0 {
 		return // another host has already confirmed it
 	}
-	g.log.Write(event.EndProved, slog.String("server", s.ID), slog.Int("requests", len(rs)))
+	g.log.Write(event.CrashConfirmed, slog.String("server", s.ID), slog.Int("requests", len(rs)))
 	g.logSuspectChanges(ownEvidence, changes)
 	g.suspectsChanged()
 }
--- a/daemon/news/forward.go
+++ b/daemon/news/forward.go
@@ -84,7 +84,7 @@
 func (n *Exchange) appendPending(to, ms []cbor.RawMessage) []cbor.RawMessage {
 	room := max(maxPending-len(to), 0)
 	if len(ms) > room {
-		n.log.Write(event.NewsLost, slog.String("doing", "forward"), slog.Int("messages", len(ms)-room))
+		n.log.Write(event.UpdateLost, slog.String("doing", "forward"), slog.Int("messages", len(ms)-room))
 		ms = ms[:room]
 	}
 	return append(to, ms...)
@@ -114,7 +114,7 @@
 		d.Messages, ms = ms[:count], ms[count:]
 		b, err := cbor.Marshal(d)
 		if err != nil {
-			n.log.Write(event.NewsLost, slog.String("error", err.Error()))
+			n.log.Write(event.UpdateLost, slog.String("error", err.Error()))
 			return
 		}
 		for _, h := range hosts {
--- a/daemon/news/news.go
+++ b/daemon/news/news.go
@@ -220,7 +220,7 @@
 	n.lastSent.Store(int64(n.now()))
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		n.log.Write(event.NewsLost, slog.String("error", err.Error()))
+		n.log.Write(event.UpdateLost, slog.String("error", err.Error()))
 		return
 	}
 	d := datagram{Scope: forwardToCell, Urgent: m.Kind == kindPlacement || m.Kind == kindSuspects || m.Kind == kindLimit || m.Kind == kindLeaving, Messages: []cbor.RawMessage{b}}
@@ -257,12 +257,12 @@
 			return
 		}
 		if err != nil {
-			n.log.Write(event.NewsLost, slog.String("error", err.Error()))
+			n.log.Write(event.UpdateLost, slog.String("error", err.Error()))
 			continue
 		}
 		var d datagram
 		if err := cbor.Unmarshal(b[:size], &d); err != nil {
-			n.log.Write(event.NewsLost, slog.String("from", from.String()), slog.String("error", err.Error()))
+			n.log.Write(event.UpdateLost, slog.String("from", from.String()), slog.String("error", err.Error()))
 			continue
 		}
 		n.recordReceived(from)
@@ -276,7 +276,7 @@
 	for _, b := range ms {
 		var m message
 		if err := cbor.Unmarshal(b, &m); err != nil {
-			n.log.Write(event.NewsLost, slog.String("from", from.String()), slog.String("error", err.Error()))
+			n.log.Write(event.UpdateLost, slog.String("from", from.String()), slog.String("error", err.Error()))
 			continue
 		}
 		n.apply(m, from)
--- a/daemon/news/notice.go
+++ b/daemon/news/notice.go
@@ -50,7 +50,7 @@
 func (n *Exchange) applyNotice(m message, from netip.AddrPort) {
 	l := notice.Limit{Version: m.LimitVersion, Limited: m.Limited, Rate: m.Rate}
 	if err := l.Validate(); err != nil {
-		n.log.Write(event.NewsLost, slog.String("from", from.String()), slog.String("error", err.Error()))
+		n.log.Write(event.UpdateLost, slog.String("from", from.String()), slog.String("error", err.Error()))
 		return
 	}
 	switch m.Kind {
@@ -82,7 +82,7 @@
 	m.Host = n.scheduler.Host()
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		n.log.Write(event.NewsLost, slog.String("error", err.Error()))
+		n.log.Write(event.UpdateLost, slog.String("error", err.Error()))
 		return
 	}
 	n.transmit(datagram{Scope: forwardToNone, Messages: []cbor.RawMessage{b}}, []netip.AddrPort{to})
--- a/daemon/node/node.go
+++ b/daemon/node/node.go
@@ -189,7 +189,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), suspectsTimeout)
 			defer cancel()
 			if err := n.peerClient.SendSuspects(ctx, m.Addr, rs); err != nil {
-				event.SuspectUnusable.Warn("daemon", m.Addr, "error", err)
+				event.SuspectRecordUnusable.Warn("daemon", m.Addr, "error", err)
 			}
 		})
 	}
--- a/daemon/node/stop.go
+++ b/daemon/node/stop.go
@@ -40,7 +40,7 @@
 	err := n.awaitDrained(ctx)
 	n.Close()
 	if err != nil {
-		event.DaemonGaveUp.Error(err, "in_progress", n.callers.InProgress())
+		event.DaemonStoppedWithRequests.Error(err, "in_progress", n.callers.InProgress())
 		return err
 	}
 	event.DaemonStopped.Info()
--- a/daemon/operators/templates.go
+++ b/daemon/operators/templates.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	event.TemplateApplied.Info("workspace", t.Workspace, "version", x.Template.Version, "number", x.Number)
+	event.TemplateChangeAccepted.Info("workspace", t.Workspace, "version", x.Template.Version, "number", x.Number)
 	s.loop.Do(ctx, func(st *control.State) {
 		st.ObserveTemplateNumber(x.Number)
 		st.UpdateTemplates(template.Update{Changes: []template.Change{x}})
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -230,7 +230,7 @@
 			return
 		}
 		if received || !failed {
-			c.log.Write(event.RelayLost, slog.String("from", addr), slog.String("error", err.Error()))
+			c.log.Write(event.RelayStreamLost, slog.String("from", addr), slog.String("error", err.Error()))
 		}
 		failed = true
 		if !errors.Is(err, errRetryLater) {
--- a/daemon/upkeep/lease.go
+++ b/daemon/upkeep/lease.go
@@ -43,6 +43,6 @@
 	}
 	u.snapshotNumber = t.Number()
 	if n, err := u.changes.Trim(ctx); n > 0 || err != nil {
-		event.LogTrimmed.Info("changes", n, "cause", err)
+		event.TemplateLogTrimmed.Info("changes", n, "cause", err)
 	}
 }
--- a/daemon/upkeep/sweep.go
+++ b/daemon/upkeep/sweep.go
@@ -34,7 +34,7 @@
 	}
 	for _, h := range orphans(hs, members) {
 		if u.engines.Release(ctx, addr, h.ID) == nil {
-			event.HoldingFreed.Info("engine", addr, "holding", h.ID, "tokens", h.Tokens, "owner", h.Owner)
+			event.OrphanedHoldingReleased.Info("engine", addr, "holding", h.ID, "tokens", h.Tokens, "owner", h.Owner)
 		}
 	}
 }
--- a/daemon/watch/apply.go
+++ b/daemon/watch/apply.go
@@ -15,7 +15,7 @@
 	if r.err != nil {
 		if !w.lost[r.table] {
 			w.lost[r.table] = true
-			w.log.Write(event.PlatformLost, slog.String("table", r.table), slog.String("error", r.err.Error()))
+			w.log.Write(event.PlatformUnreachable, slog.String("table", r.table), slog.String("error", r.err.Error()))
 		}
 		return
 	}
@@ -24,7 +24,7 @@
 	}
 	if w.lost[r.table] && !r.relayed {
 		w.lost[r.table] = false
-		w.log.Write(event.PlatformBack, slog.String("table", r.table), slog.Duration("after", r.failing))
+		w.log.Write(event.PlatformReachable, slog.String("table", r.table), slog.Duration("after", r.failing))
 	}
 	w.detectReturn(r)
 	changed := false
@@ -97,7 +97,7 @@
 // them, or 0 for the end of a grace period.
 func (w *Watcher) logServerChanges(changes []backend.Change, relayed bool, age time.Duration) {
 	for _, c := range changes {
-		w.log.Write(event.ServerLeaving, slog.String("server", c.ID), slog.String("change", string(c.Kind)),
+		w.log.Write(event.ServerLeavingOrReturned, slog.String("server", c.ID), slog.String("change", string(c.Kind)),
 			slog.Bool("told", relayed), slog.Duration("age", age))
 	}
 }
@@ -113,7 +113,7 @@
 		c, err := w.decode.Config(row.Value)
 		if err != nil {
 			if w.recordUnusable(row) {
-				w.log.Write(event.ConfigBad, slog.Int64("revision", row.Revision), slog.String("error", err.Error()))
+				w.log.Write(event.PlatformRowUnusable, slog.Int64("revision", row.Revision), slog.String("error", err.Error()))
 			}
 			continue
 		}
@@ -140,7 +140,7 @@
 		s, err := w.decode.Server(row.Key, row.Value)
 		if err != nil {
 			if w.recordUnusable(row) {
-				w.log.Write(event.ConfigBad, slog.String("server", row.Key), slog.String("error", err.Error()))
+				w.log.Write(event.PlatformRowUnusable, slog.String("server", row.Key), slog.String("error", err.Error()))
 			}
 			changed = w.servers.MarkUnreadable(row.Key, row.Revision) || changed
 			continue
@@ -174,7 +174,7 @@
 	var s Suspect
 	if err := json.Unmarshal(row.Value, &s); err != nil {
 		if w.recordUnusable(row) {
-			w.log.Write(event.ConfigBad, slog.String("suspect", row.Key), slog.String("error", err.Error()))
+			w.log.Write(event.PlatformRowUnusable, slog.String("suspect", row.Key), slog.String("error", err.Error()))
 		}
 		return
 	}
@@ -199,7 +199,7 @@
 		h := Host{Name: row.Key}
 		if err := json.Unmarshal(row.Value, &h); err != nil {
 			if w.recordUnusable(row) {
-				w.log.Write(event.ConfigBad, slog.String("host", row.Key), slog.String("error", err.Error()))
+				w.log.Write(event.PlatformRowUnusable, slog.String("host", row.Key), slog.String("error", err.Error()))
 			}
 			continue
 		}
