--- a/cmd/command/suspects_count.go
+++ b/cmd/command/suspects_count.go
@@ -85,9 +85,9 @@
 
 func (c *suspectCounts) add(l logLine) {
 	switch l.Event {
-	case event.ServerEnded.Number:
+	case event.ServerCrashed.Number:
 		c.CrashesReported++
-	case event.EndProved.Number:
+	case event.CrashConfirmed.Number:
 		c.CrashesConfirmed++
 	case event.SuspectChanged.Number:
 		c.Stages[l.Stage]++
