--- a/core/schedule/isolation.go
+++ b/core/schedule/isolation.go
@@ -15,10 +15,10 @@
 // Copies of one request go to the same server while that has a free slot, so
 // that a request that ends its server ends one server and not one for each copy.
 func (sc *Scheduler) leadCandidates(now time.Duration, available []*backend.Server, r Request) ([]*backend.Server, bool) {
-	if r.Fingerprint == 0 {
+	if r.HeadHash == 0 {
 		return available, len(available) > 0
 	}
-	for _, p := range sc.byFingerprint[r.Fingerprint] {
+	for _, p := range sc.byHeadHash[r.HeadHash] {
 		if !r.Isolated && !p.pending(now) {
 			continue
 		}
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	if r.OnlyCopy && len(sc.byFingerprint[r.Fingerprint]) > 0 {
+	if r.OnlyCopy && len(sc.byHeadHash[r.HeadHash]) > 0 {
 		return nil, false
 	}
 	if r.Isolated {
@@ -75,7 +75,7 @@
 		names = append(names, s.ID)
 	}
 	var key [8]byte
-	binary.BigEndian.PutUint64(key[:], r.Fingerprint)
+	binary.BigEndian.PutUint64(key[:], r.HeadHash)
 	owner := route.Owner(string(key[:]), names)
 	for i, s := range free {
 		if s.ID == owner {
@@ -118,9 +118,9 @@
 }
 
 // CopyCount returns the number of known placements of copies of a request, by its
-// fingerprint.
-func (sc *Scheduler) CopyCount(fingerprint uint64) int {
+// head hash.
+func (sc *Scheduler) CopyCount(headHash uint64) int {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	return len(sc.byFingerprint[fingerprint])
+	return len(sc.byHeadHash[headHash])
 }
--- a/core/schedule/isolation_test.go
+++ b/core/schedule/isolation_test.go
@@ -20,18 +20,18 @@
 // TestCopiesShareServer places a request and then another one, which may be a copy
 // of it. Copies on different servers could end one server each.
 func TestCopiesShareServer(t *testing.T) {
-	first := Request{Fingerprint: 7, Objective: time.Second}
+	first := Request{HeadHash: 7, Objective: time.Second}
 	for name, tc := range map[string]struct {
 		then  Request
 		after time.Duration
 		same  bool
 		ok    bool
 	}{
-		"copy":                           {Request{Fingerprint: 7, Objective: time.Second}, 0, true, true},
-		"different request":              {Request{Fingerprint: 8, Objective: time.Second}, 0, false, true},
-		"copy of a late request":         {Request{Fingerprint: 7, Objective: time.Second}, 2 * time.Second, false, true},
-		"isolated copy":                  {Request{Fingerprint: 7, Isolated: true}, 0, true, true},
-		"copy that must be the only one": {Request{Fingerprint: 7, Isolated: true, OnlyCopy: true}, 0, true, false},
+		"copy":                           {Request{HeadHash: 7, Objective: time.Second}, 0, true, true},
+		"different request":              {Request{HeadHash: 8, Objective: time.Second}, 0, false, true},
+		"copy of a late request":         {Request{HeadHash: 7, Objective: time.Second}, 2 * time.Second, false, true},
+		"isolated copy":                  {Request{HeadHash: 7, Isolated: true}, 0, true, true},
+		"copy that must be the only one": {Request{HeadHash: 7, Isolated: true, OnlyCopy: true}, 0, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sc := New(1)
@@ -53,21 +53,21 @@
 	used := map[string]bool{}
 	sc := New(1)
 	for n := range servers {
-		p, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: uint64(n) + 1, Isolated: true, OnlyCopy: true})
+		p, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{HeadHash: uint64(n) + 1, Isolated: true, OnlyCopy: true})
 		if !ok || used[p.Lead] {
 			t.Errorf("isolated request %d: placed %v on %q, want a server of its own", n, ok, p.Lead)
 		}
 		used[p.Lead] = true
 	}
-	if p, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: 99, Isolated: true, OnlyCopy: true}); ok {
+	if p, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{HeadHash: 99, Isolated: true, OnlyCopy: true}); ok {
 		t.Errorf("an isolated request that must be the only copy is placed on %s beside another one", p.Lead)
 	}
-	if _, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: 99, Isolated: true}); !ok {
+	if _, ok := sc.Place(0, site.Service{Name: "plain"}, servers, Request{HeadHash: 99, Isolated: true}); !ok {
 		t.Error("an isolated request that need not be the only copy is not placed")
 	}
 	leads := map[string]bool{}
 	for host := range uint32(5) {
-		p, _ := New(host+2).Place(0, site.Service{Name: "plain"}, servers, Request{Fingerprint: 5, Isolated: true, CopiesFailed: true})
+		p, _ := New(host+2).Place(0, site.Service{Name: "plain"}, servers, Request{HeadHash: 5, Isolated: true, CopiesFailed: true})
 		leads[p.Lead] = true
 	}
 	if len(leads) != 1 {
@@ -84,7 +84,7 @@
 		t.Run(name, func(t *testing.T) {
 			sc, used := New(1), map[string]bool{}
 			for n := range 2 * tc.servers {
-				p, ok := sc.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{Fingerprint: uint64(n) + 1, Workspace: 5, Isolated: true})
+				p, ok := sc.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{HeadHash: uint64(n) + 1, Workspace: 5, Isolated: true})
 				if !ok {
 					t.Fatal("the isolated request is not placed")
 				}
@@ -93,7 +93,7 @@
 			if len(used) != tc.want {
 				t.Errorf("%d isolated requests of a workspace run on %d servers, want %d", 2*tc.servers, len(used), tc.want)
 			}
-			if p, ok := sc.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{Fingerprint: 99, Workspace: 6, Isolated: true, OnlyCopy: true}); !ok || used[p.Lead] {
+			if p, ok := sc.Place(0, site.Service{Name: "plain"}, plainServers(tc.servers), Request{HeadHash: 99, Workspace: 6, Isolated: true, OnlyCopy: true}); !ok || used[p.Lead] {
 				t.Errorf("an isolated request of another workspace: placed %v on %s, want a server without any", ok, p.Lead)
 			}
 		})
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -64,8 +64,8 @@
 		// LeadOnly are servers that may lead the request, but not help with a
 		// prompt that another server leads.
 		LeadOnly map[string]bool
-		// Fingerprint is equal for copies of one request; zero for none.
-		Fingerprint uint64
+		// HeadHash is equal for copies of one request; zero for none.
+		HeadHash uint64
 		// Isolated asks for a server on which no other isolated request runs.
 		// OnlyCopy asks in addition that no copy of the request runs anywhere.
 		// CopiesFailed says that several copies of the request have failed
@@ -98,10 +98,10 @@
 		Workspace    uint32
 		Share        WorkspaceShare
 		SlotScarcity float64
-		// Fingerprint and Isolated are those of the [Request].
-		Fingerprint uint64
-		Isolated    bool
-		Work        Work
+		// HeadHash and Isolated are those of the [Request].
+		HeadHash uint64
+		Isolated bool
+		Work     Work
 		// Objective is the time from PlacedAt until the first event is late.
 		Objective time.Duration
 		Gap       time.Duration
@@ -134,7 +134,7 @@
 		next           uint32
 		placements     map[ID]*Placement
 		byServer       map[string]*serverLoad
-		byFingerprint  map[uint64][]*Placement
+		byHeadHash     map[uint64][]*Placement
 		backoffs       map[string]backoff
 		reports        map[string]failureReports // of other hosts, by server
 		falseReports   map[uint32]time.Duration  // time of a host's last false report
@@ -168,7 +168,7 @@
 		host:           host,
 		placements:     map[ID]*Placement{},
 		byServer:       map[string]*serverLoad{},
-		byFingerprint:  map[uint64][]*Placement{},
+		byHeadHash:     map[uint64][]*Placement{},
 		backoffs:       map[string]backoff{},
 		reports:        map[string]failureReports{},
 		falseReports:   map[uint32]time.Duration{},
@@ -202,7 +202,7 @@
 	p := &Placement{
 		Service: s.Name, Workspace: r.Workspace, Share: WorkspaceShare{Weight: 1}, Work: r.Work,
 		Objective: r.Objective, Gap: r.Gap, PlacedAt: now,
-		Fingerprint: r.Fingerprint, Isolated: r.Isolated,
+		HeadHash: r.HeadHash, Isolated: r.Isolated,
 	}
 	if s.Engine == nil || r.Work.Prompt == 0 {
 		p.Fits = true
@@ -322,8 +322,8 @@
 
 func (sc *Scheduler) add(p *Placement) {
 	sc.placements[p.ID] = p
-	if p.Fingerprint != 0 {
-		sc.byFingerprint[p.Fingerprint] = append(sc.byFingerprint[p.Fingerprint], p)
+	if p.HeadHash != 0 {
+		sc.byHeadHash[p.HeadHash] = append(sc.byHeadHash[p.HeadHash], p)
 	}
 	for _, s := range p.servers() {
 		l := sc.byServer[s]
@@ -341,10 +341,10 @@
 		return
 	}
 	delete(sc.placements, id)
-	if p.Fingerprint != 0 {
-		sc.byFingerprint[p.Fingerprint] = slices.DeleteFunc(sc.byFingerprint[p.Fingerprint], func(o *Placement) bool { return o == p })
-		if len(sc.byFingerprint[p.Fingerprint]) == 0 {
-			delete(sc.byFingerprint, p.Fingerprint)
+	if p.HeadHash != 0 {
+		sc.byHeadHash[p.HeadHash] = slices.DeleteFunc(sc.byHeadHash[p.HeadHash], func(o *Placement) bool { return o == p })
+		if len(sc.byHeadHash[p.HeadHash]) == 0 {
+			delete(sc.byHeadHash, p.HeadHash)
 		}
 	}
 	for _, s := range p.servers() {
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -341,7 +341,7 @@
 		Hall:         g.hall,
 		Avoid:        c.failedServers,
 		LeadOnly:     g.notices.LimitedServers(available),
-		Fingerprint:  affinity,
+		HeadHash:     affinity,
 		Isolated:     confined || stage >= quarantine.Suspect,
 		OnlyCopy:     stage >= quarantine.Serialized,
 		CopiesFailed: confined || c.copiesFailed,
--- a/daemon/news/news.go
+++ b/daemon/news/news.go
@@ -110,7 +110,7 @@
 		Service     string        `cbor:"10,keyasint,omitempty"`
 		Shares      []memoryShare `cbor:"11,keyasint,omitempty"`
 		Workspace   uint32        `cbor:"13,keyasint,omitempty"`
-		Fingerprint uint64        `cbor:"14,keyasint,omitempty"`
+		HeadHash    uint64        `cbor:"14,keyasint,omitempty"`
 		Isolated    bool          `cbor:"15,keyasint,omitempty"`
 
 		Suspects []quarantine.Record `cbor:"16,keyasint,omitempty"`
@@ -189,7 +189,7 @@
 		Prompt: p.Work.Prompt, Answer: p.Work.Answer, GapMS: p.Gap.Milliseconds(),
 		ObjectiveMS: p.Objective.Milliseconds(),
 		FirstMS:     p.FirstToken.Milliseconds(), Service: p.Service, Shares: shares,
-		Workspace: p.Workspace, Fingerprint: p.Fingerprint, Isolated: p.Isolated,
+		Workspace: p.Workspace, HeadHash: p.HeadHash, Isolated: p.Isolated,
 	})
 }
 
@@ -299,12 +299,12 @@
 		}
 		n.scheduler.AddRemote(schedule.Placement{
 			ID: id, Service: m.Service, Workspace: m.Workspace, Lead: m.Lead, Helpers: m.Helpers, MemoryShares: shares,
-			Work:        schedule.Work{Prompt: m.Prompt, Answer: m.Answer},
-			Gap:         time.Duration(m.GapMS) * time.Millisecond,
-			Objective:   time.Duration(m.ObjectiveMS) * time.Millisecond,
-			FirstToken:  time.Duration(m.FirstMS) * time.Millisecond,
-			PlacedAt:    n.now(),
-			Fingerprint: m.Fingerprint, Isolated: m.Isolated,
+			Work:       schedule.Work{Prompt: m.Prompt, Answer: m.Answer},
+			Gap:        time.Duration(m.GapMS) * time.Millisecond,
+			Objective:  time.Duration(m.ObjectiveMS) * time.Millisecond,
+			FirstToken: time.Duration(m.FirstMS) * time.Millisecond,
+			PlacedAt:   n.now(),
+			HeadHash:   m.HeadHash, Isolated: m.Isolated,
 		})
 		n.notices.Placement(m.Lead)
 	case kindStart:
