--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -4,7 +4,7 @@
 // Engines serve requests in the order of arrival. A request that would be late
 // only because of the queue in front of it therefore delays the requests behind
 // it too, and a late answer is worth a quarter of one in time. Such a request is
-// refused before any engine has read a token of it, with a Retry-After of the
+// refused before any engine has prefilled a token of it, with a Retry-After of the
 // time in which the queue is expected to drain. A retry is judged like any
 // other request, by the predictions at that time.
 //
@@ -39,7 +39,7 @@
 const (
 	// minQueueSlowdown is the factor by which the queue must prolong the time to
 	// the first token before a stream counts as late because of it. A prompt that
-	// even idle engines can't read in time would otherwise be refused on every retry.
+	// even idle engines can't prefill in time would otherwise be refused on every retry.
 	minQueueSlowdown = 2
 	// maxDisplacedRatio is how many times its own value a request may displace. The
 	// limit is the same for retries: with 8 for these, engines were kept busy by
@@ -78,12 +78,13 @@
 		// IdleFirstToken the prediction for idle engines; both are zero for plain
 		// services.
 		FirstToken, IdleFirstToken time.Duration
-		// DisplacedRatio is the value of the work that the engines could do instead,
-		// divided by the value of the request.
+		// DisplacedRatio is the value of the work that the request displaces on the
+		// engines, divided by the value of the request.
 		DisplacedRatio float64
-		// EngineMemory is the memory that the request needs, in engines, and
-		// SpareFraction the minimum fraction of all engines that don't read it.
-		EngineMemory, SpareFraction float64
+		// EnginesFilled is how many engines' memory the request fills, and
+		// SpareFraction a lower bound on the fraction of the service's engines that
+		// take no part in its prefill.
+		EnginesFilled, SpareFraction float64
 		// DisplacedWeight multiplies DisplacedRatio according to the share of the
 		// engines that the workspace uses; 0 counts as 1. OverShare reports whether
 		// that share is much more than an even one. SlotScarcity is how scarce slots
@@ -160,11 +161,11 @@
 }
 
 // maxDisplacedRatio returns how many times its own value the request may displace.
-// Reading time grows with the square of the prompt's length and value only linearly,
+// Prefill time grows with the square of the prompt's length and value only linearly,
 // so under one fixed limit a burst of long prompts causes nearly all of the longest
 // to be refused: on 150 engines, of 127 prompts that need the memory of several
 // engines, 54 were refused for the work they displace, although all were predicted
-// in time, and 35 were read. The limit of a request that will be in time therefore
+// in time, and 35 were prefilled. The limit of a request that will be in time therefore
 // grows with the number of engines whose memory it fills, scaled by the fraction of
 // engines left for other requests. Without that scaling it cost 0.005 of the value
 // on 18 engines, where none are left (standard error 0.004, 15 pairs of days with
@@ -173,7 +174,7 @@
 	if r.FirstToken > r.Objective {
 		return maxDisplacedRatio
 	}
-	return maxDisplacedRatio * (1 + max(r.EngineMemory-1, 0)*r.SpareFraction)
+	return maxDisplacedRatio * (1 + max(r.EnginesFilled-1, 0)*r.SpareFraction)
 }
 
 // refuse returns a refusal with the given time to retry, capped to the time after
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -55,18 +55,18 @@
 		},
 		"displaces more than its value": {with(long, func(r *admission.Request) { r.DisplacedRatio = 1.1 }), admission.EnginesBusy, 2 * time.Second},
 		"memory of two engines, displaces more": {
-			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory, r.SpareFraction = 2.1, 2, 1 }), admission.EnginesBusy, 2 * time.Second,
+			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EnginesFilled, r.SpareFraction = 2.1, 2, 1 }), admission.EnginesBusy, 2 * time.Second,
 		},
-		"memory of two engines, displaces less": {with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory, r.SpareFraction = 1.9, 2, 1 }), "", 0},
+		"memory of two engines, displaces less": {with(long, func(r *admission.Request) { r.DisplacedRatio, r.EnginesFilled, r.SpareFraction = 1.9, 2, 1 }), "", 0},
 		"memory of two engines, no other engines": {
-			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory = 1.1, 2 }), admission.EnginesBusy, 2 * time.Second,
+			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EnginesFilled = 1.1, 2 }), admission.EnginesBusy, 2 * time.Second,
 		},
 		"memory of half an engine": {
-			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EngineMemory, r.SpareFraction = 1.1, 0.5, 1 }), admission.EnginesBusy, 2 * time.Second,
+			with(long, func(r *admission.Request) { r.DisplacedRatio, r.EnginesFilled, r.SpareFraction = 1.1, 0.5, 1 }), admission.EnginesBusy, 2 * time.Second,
 		},
 		"memory of two engines, late": {
 			with(long, func(r *admission.Request) {
-				r.DisplacedRatio, r.EngineMemory, r.FirstToken, r.IdleFirstToken = 1.1, 2, 4*time.Second, 3*time.Second
+				r.DisplacedRatio, r.EnginesFilled, r.FirstToken, r.IdleFirstToken = 1.1, 2, 4*time.Second, 3*time.Second
 			}),
 			admission.EnginesBusy, 3 * time.Second,
 		},
--- a/core/emulate/emulate.go
+++ b/core/emulate/emulate.go
@@ -105,7 +105,7 @@
 	return func(r admission.Request, _ bool) (admission.Refusal, bool) { return p.Decide(r) }
 }
 
-// FavorRetries returns the rule that applies a policy, but with the displacement of
+// FavorRetries returns the rule that applies a policy, but with the displaced ratio of
 // retries divided by factor: a retry may displace factor times as much as a first
 // attempt.
 func FavorRetries(p admission.Policy, factor float64) Rule {
@@ -149,8 +149,8 @@
 	})
 	refusal, refused := rule(admission.Request{
 		Stream: true, TimeLeft: wait - (r.attempt - r.arrived), Objective: r.load.Objective,
-		FirstToken: p.FirstToken, IdleFirstToken: p.IdleFirstToken, DisplacedRatio: p.DisplacementRatio, EngineMemory: p.EnginesFilled, SpareFraction: p.SpareFraction,
-		DisplacedWeight: p.Share.Weight, OverShare: p.Share.OverShare, SlotScarcity: p.SlotScarcity,
+		FirstToken: p.FirstToken, IdleFirstToken: p.IdleFirstToken, DisplacedRatio: p.DisplacedRatio, EnginesFilled: p.EnginesFilled, SpareFraction: p.SpareFraction,
+		DisplacedWeight: p.Share.DisplacedWeight, OverShare: p.Share.OverShare, SlotScarcity: p.SlotScarcity,
 	}, r.retried)
 	if refused {
 		f.scheduler.RecordEnd(p.ID)
--- a/core/schedule/choose.go
+++ b/core/schedule/choose.go
@@ -76,7 +76,7 @@
 	p.IdleFirstToken = idlePrefillTime(e, r.Work.Prompt, len(servers))
 	p.PassTime = passTime(e, best.lead.running+1, best.lead.context+r.Work.Prompt)
 	p.LeadRunning, p.LeadBacklog = best.lead.running, best.lead.backlog
-	p.DisplacementRatio = (best.harm + displacedValue(e, c.states, r)) / (c.value * retainedValue(best.firstToken, r.Objective))
+	p.DisplacedRatio = (best.harm + displacedValue(e, c.states, r)) / (c.value * retainedValue(best.firstToken, r.Objective))
 	p.Share, p.SlotScarcity = sc.workspaceShare(e, servers, r), slotScarcity(slotUtilization(c.states))
 	for _, h := range best.helpers {
 		p.Helpers = append(p.Helpers, h.server.ID)
--- a/core/schedule/schedule.go
+++ b/core/schedule/schedule.go
@@ -84,10 +84,10 @@
 		MemoryShares []MemoryShare
 		// Fits reports whether the servers have the memory for the request.
 		Fits bool
-		// DisplacementRatio is the value of the work that the request displaces
-		// on the servers, relative to the value of the request: above 1, serving
-		// it later is better.
-		DisplacementRatio float64
+		// DisplacedRatio is the value of the work that the request displaces on
+		// the engines, divided by the value of the request: above 1, serving it
+		// later is better.
+		DisplacedRatio float64
 		// EnginesFilled is how many engines' memory the request fills, and
 		// SpareFraction a lower bound on the fraction of the service's engines
 		// that take no part in its prefill.
@@ -200,7 +200,7 @@
 		return Placement{}, false
 	}
 	p := &Placement{
-		Service: s.Name, Workspace: r.Workspace, Share: WorkspaceShare{Weight: 1}, Work: r.Work,
+		Service: s.Name, Workspace: r.Workspace, Share: WorkspaceShare{DisplacedWeight: 1}, Work: r.Work,
 		Objective: r.Objective, Gap: r.Gap, PlacedAt: now,
 		HeadHash: r.HeadHash, Isolated: r.Isolated,
 	}
--- a/core/schedule/schedule_test.go
+++ b/core/schedule/schedule_test.go
@@ -184,8 +184,8 @@
 			}
 			r := long
 			r.Work.Prompt = 230_000
-			if p := place(t, sc, ss, r); (p.DisplacementRatio > 1) != tc.displaces {
-				t.Errorf("the request displaces %.2f times its value", p.DisplacementRatio)
+			if p := place(t, sc, ss, r); (p.DisplacedRatio > 1) != tc.displaces {
+				t.Errorf("the request displaces %.2f times its value", p.DisplacedRatio)
 			}
 		})
 	}
--- a/core/schedule/share.go
+++ b/core/schedule/share.go
@@ -24,12 +24,12 @@
 	// with that of other workspaces. Hosts derive it from the placements that they
 	// know and exchange nothing else for it, so it is as current as those are.
 	WorkspaceShare struct {
-		// Weight multiplies the displacement of the workspace's requests: the
-		// workspace's fraction of the engine time, divided by the mean of the
-		// workspaces' fractions weighted by engine time. The mean weight over all
-		// placed work is therefore 1: the higher the weight of a workspace that
-		// crowds out others, the lower the weights of these.
-		Weight float64
+		// DisplacedWeight multiplies the displaced ratio of the workspace's
+		// requests. It is the workspace's fraction of the engine time, divided by
+		// the mean of the workspaces' fractions weighted by engine time. The mean
+		// weight over all placed work is therefore 1: a workspace whose weight is
+		// above 1 lowers the weights of the others.
+		DisplacedWeight float64
 		// Fraction is the workspace's fraction of the engine time, from 0 to 1, and
 		// Workspaces the number of workspaces that hold any, including this one.
 		Fraction   float64
@@ -103,14 +103,14 @@
 		squares += d.Seconds() * d.Seconds()
 	}
 	if squares == 0 {
-		return WorkspaceShare{Weight: 1}
+		return WorkspaceShare{DisplacedWeight: 1}
 	}
 	fraction := busy[0].Seconds() / all
 	return WorkspaceShare{
-		Weight:     min(max(fraction*all*all/squares, minWeight), maxWeight),
-		Fraction:   fraction,
-		Workspaces: len(busy),
-		OverShare:  fraction*float64(len(busy)) > overShareFactor,
+		DisplacedWeight: min(max(fraction*all*all/squares, minWeight), maxWeight),
+		Fraction:        fraction,
+		Workspaces:      len(busy),
+		OverShare:       fraction*float64(len(busy)) > overShareFactor,
 	}
 }
 
--- a/core/schedule/share_test.go
+++ b/core/schedule/share_test.go
@@ -46,8 +46,8 @@
 			r := long
 			r.Workspace = schedule.HashWorkspace(tc.asking)
 			p := place(t, sc, servers(18), r).Share
-			if math.Abs(p.Weight-tc.weight) > 1e-9 || p.OverShare != tc.over {
-				t.Errorf("weight %.4f, over its share %v; want %.4f, %v", p.Weight, p.OverShare, tc.weight, tc.over)
+			if math.Abs(p.DisplacedWeight-tc.weight) > 1e-9 || p.OverShare != tc.over {
+				t.Errorf("weight %.4f, over its share %v; want %.4f, %v", p.DisplacedWeight, p.OverShare, tc.weight, tc.over)
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 		r := long
 		r.Workspace = schedule.HashWorkspace(fmt.Sprint(i))
 		p := place(t, sc, servers(18), r)
-		sum += p.Share.Weight * float64(n) / float64(all)
+		sum += p.Share.DisplacedWeight * float64(n) / float64(all)
 		sc.RecordEnd(p.ID)
 	}
 	if math.Abs(sum-1) > 1e-9 {
@@ -85,8 +85,8 @@
 		}
 		r := long
 		r.Work.Prompt, r.Workspace = prompt, schedule.HashWorkspace("a")
-		if p := place(t, sc, servers(18), r).Share; p.Weight != 1 || p.OverShare {
-			t.Errorf("a prompt of %d tokens has weight %.2f, over its share %v; want 1, false", prompt, p.Weight, p.OverShare)
+		if p := place(t, sc, servers(18), r).Share; p.DisplacedWeight != 1 || p.OverShare {
+			t.Errorf("a prompt of %d tokens has weight %.2f, over its share %v; want 1, false", prompt, p.DisplacedWeight, p.OverShare)
 		}
 	}
 }
--- a/daemon/gateway/admit.go
+++ b/daemon/gateway/admit.go
@@ -21,10 +21,10 @@
 		Objective:       c.route.Objective,
 		FirstToken:      p.FirstToken,
 		IdleFirstToken:  p.IdleFirstToken,
-		DisplacedRatio:  p.DisplacementRatio,
-		EngineMemory:    p.EnginesFilled,
+		DisplacedRatio:  p.DisplacedRatio,
+		EnginesFilled:   p.EnginesFilled,
 		SpareFraction:   p.SpareFraction,
-		DisplacedWeight: p.Share.Weight,
+		DisplacedWeight: p.Share.DisplacedWeight,
 		OverShare:       p.Share.OverShare,
 		SlotScarcity:    p.SlotScarcity,
 	})
--- a/daemon/gateway/shares.go
+++ b/daemon/gateway/shares.go
@@ -72,7 +72,7 @@
 	g.metrics.Count("gateway_over_share", 1, "workspace", label)
 	if first {
 		g.log.Write(event.WorkspaceHeld, slog.String("workspace", c.workspace.Name), slog.String("id", c.id),
-			slog.Float64("price", p.Share.Weight), slog.Float64("part", p.Share.Fraction), slog.Int("workspaces", p.Share.Workspaces),
+			slog.Float64("price", p.Share.DisplacedWeight), slog.Float64("part", p.Share.Fraction), slog.Int("workspaces", p.Share.Workspaces),
 			slog.Float64("full", p.SlotScarcity))
 	}
 }
