--- a/daemon/entry/operators.go
+++ b/daemon/entry/operators.go
@@ -27,7 +27,9 @@
 		Suspects []suspectStatus `json:"suspects"`
 	}
 
-	pardonRequest struct {
+	// pardonOrder is the body of a pardon. Its name appears in the errors of
+	// encoding/json that an operator gets.
+	pardonOrder struct {
 		Fingerprint quarantine.Fingerprint `json:"print"`
 	}
 
@@ -67,7 +69,7 @@
 }
 
 func (e *Entry) pardonSuspect(w http.ResponseWriter, r *http.Request) {
-	var req pardonRequest
+	var req pardonOrder
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&req); err != nil {
 		e.reply(w, http.StatusBadRequest, errorReply{errorBody{fault.BadRequest, err.Error(), "take the print from slipcrank suspects list"}})
 		return
