--- a/core/deadline/deadline.go
+++ b/core/deadline/deadline.go
@@ -7,7 +7,7 @@
 //
 // # Usage
 //
-//	if err := deadline.Passed(ctx); err != nil { return err } // do not send
+//	if err := deadline.Err(ctx); err != nil { return err } // do not send
 package deadline
 
 import (
