--- a/daemon/entry/suspects.go
+++ b/daemon/entry/suspects.go
@@ -51,7 +51,7 @@
 // one of the crashes, a request becomes blocked on all of them only by merging, so any
 // host with evidence of its own then stores the record.
 func (e *Entry) mergeSuspects(sender string, rs []quarantine.Record) {
-	if e.gateway.ReceiveSuspects(sender, rs) {
+	if e.gateway.MergeSuspects(sender, rs) {
 		e.signalStore()
 	}
 }
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -167,9 +167,9 @@
 	return true
 }
 
-// ReceiveSuspects merges suspects received from the host named by. It reports whether
+// MergeSuspects merges suspects received from the host named by. It reports whether
 // the stage of any request has changed.
-func (g *Gateway) ReceiveSuspects(by string, rs []quarantine.Record) bool {
+func (g *Gateway) MergeSuspects(by string, rs []quarantine.Record) bool {
 	changed := false
 	for _, r := range rs {
 		if err := r.Validate(); err != nil {
