--- a/daemon/gateway/admit_test.go
+++ b/daemon/gateway/admit_test.go
@@ -38,11 +38,11 @@
 			f := start(t, streamFrom(eventCount), streamFrom(eventCount))
 			for n, id := range []string{"e0", "e1"} {
 				if tc.busy {
-					f.board.AddRemote(schedule.Placement{
+					f.scheduler.AddRemote(schedule.Placement{
 						ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: "engine", Lead: id,
 						Work: schedule.Work{Prompt: 20_000, Answer: 10}, Gap: time.Minute, FirstToken: time.Minute,
 					})
-					f.board.AddRemote(schedule.Placement{
+					f.scheduler.AddRemote(schedule.Placement{
 						ID: schedule.ID{Host: 3, Number: uint32(n)}, Service: "engine", Lead: id,
 						Work: schedule.Work{Prompt: 32_000, Answer: 10}, Gap: time.Minute, FirstToken: time.Minute,
 					})
@@ -71,7 +71,7 @@
 func TestStreamWithTooLongQueueIsRefused(t *testing.T) {
 	f := start(t, streamFrom(eventCount))
 	for n := range 2 {
-		f.board.AddRemote(schedule.Placement{
+		f.scheduler.AddRemote(schedule.Placement{
 			ID: schedule.ID{Host: 2, Number: uint32(n)}, Service: "engine", Lead: "e0",
 			Work: schedule.Work{Prompt: 130_000, Answer: 10}, FirstToken: time.Minute,
 			MemoryShares: []schedule.MemoryShare{{Server: "elsewhere", Tokens: 130_000}},
@@ -119,7 +119,7 @@
 				} {
 					p.ID, p.Service, p.Lead = schedule.ID{Host: host, Number: uint32(n)}, "engine", id
 					p.Gap, p.FirstToken = time.Minute, time.Minute
-					f.board.AddRemote(p)
+					f.scheduler.AddRemote(p)
 				}
 			}
 			a := f.do("POST", "/read/", "b", "Size", "37000,10", "Wait-Ms", "5000")
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	g := gateway.New(dialect, watcher.State, pool, board, ...)
+//	g := gateway.New(dialect, watcher.State, pool, scheduler, ...)
 //	http.Server{Handler: g}
 package gateway
 
@@ -72,7 +72,7 @@
 		freshness          Freshness
 		admission          admission.Policy
 		pool               *upstream.Pool
-		board              *schedule.Scheduler
+		scheduler          *schedule.Scheduler
 		budget             *limit.RetryWindow
 		log                *decision.Log
 		metrics            *telemetry.Metrics
@@ -160,17 +160,17 @@
 func WithClock(c *boottime.Clock) Option { return func(g *Gateway) { g.clock = c } }
 
 // WithMemory sets what reserves memory on backend servers.
-func WithMemory(k *memory.Reserver) Option { return func(g *Gateway) { g.memory = k } }
+func WithMemory(r *memory.Reserver) Option { return func(g *Gateway) { g.memory = r } }
 
-// New returns a gateway that places requests with board, sends them through pool, and
+// New returns a gateway that places requests with scheduler, sends them through pool, and
 // limits retries by budget.
-func New(d Dialect, state func() State, pool *upstream.Pool, board *schedule.Scheduler, budget *limit.RetryWindow,
+func New(d Dialect, state func() State, pool *upstream.Pool, scheduler *schedule.Scheduler, budget *limit.RetryWindow,
 	log *decision.Log, metrics *telemetry.Metrics, opts ...Option,
 ) *Gateway {
 	always := func() bool { return true }
 	zeroAge := func() time.Duration { return 0 }
 	g := &Gateway{
-		dialect: d, state: state, pool: pool, board: board, budget: budget, log: log, metrics: metrics,
+		dialect: d, state: state, pool: pool, scheduler: scheduler, budget: budget, log: log, metrics: metrics,
 		freshness:       Freshness{KeysTrusted: always, ConfigCurrent: always, ConfigAge: zeroAge, ServersAge: zeroAge},
 		admission:       admission.Default(),
 		onPlaced:        func(schedule.Placement) {},
@@ -333,7 +333,7 @@
 	}
 	ready := s.usableServers(service.Name)
 	available, _ := g.notices.Available(ready, g.clock.Now())
-	p, ok := g.board.Place(g.clock.Now(), service, available, schedule.Request{
+	p, ok := g.scheduler.Place(g.clock.Now(), service, available, schedule.Request{
 		Work:         c.work,
 		Objective:    c.route.Objective - time.Since(c.arrivedAt),
 		Gap:          c.route.Gap,
--- a/daemon/gateway/gateway_test.go
+++ b/daemon/gateway/gateway_test.go
@@ -59,7 +59,7 @@
 		t             *testing.T
 		httpServer    *httptest.Server
 		gateway       *gateway.Gateway
-		board         *schedule.Scheduler
+		scheduler     *schedule.Scheduler
 		metrics       *telemetry.Metrics
 		servers       []*server
 		view          *backend.View
@@ -172,7 +172,7 @@
 	l := decision.New(io.Discard)
 	t.Cleanup(l.Close)
 	budget := limit.NewRetryWindow(10*time.Second, 0.2, func() float64 { return 10 })
-	f.board, f.metrics = schedule.New(1), telemetry.NewMetrics()
+	f.scheduler, f.metrics = schedule.New(1), telemetry.NewMetrics()
 	opts := append([]gateway.Option{
 		gateway.WithFreshness(gateway.Freshness{
 			KeysTrusted:   func() bool { return f.configCurrent },
@@ -189,7 +189,7 @@
 		}, l)),
 	}, extra...)
 	f.gateway = gateway.New(dialect, func() gateway.State { return gateway.State{Config: f.config, Servers: f.view} },
-		upstream.New(), f.board, budget, l, f.metrics, opts...)
+		upstream.New(), f.scheduler, budget, l, f.metrics, opts...)
 	f.httpServer = httptest.NewServer(f.gateway)
 	t.Cleanup(f.httpServer.Close)
 	return f
--- a/daemon/gateway/silence.go
+++ b/daemon/gateway/silence.go
@@ -141,8 +141,8 @@
 			return 0
 		}
 		now := g.clock.Now()
-		extension := time.Duration(predictedPauseFactor * float64(g.board.PredictPause(now, service.Engine, server)))
-		if ago, known := g.board.SinceFirstToken(server.ID, now); known {
+		extension := time.Duration(predictedPauseFactor * float64(g.scheduler.PredictPause(now, service.Engine, server)))
+		if ago, known := g.scheduler.SinceFirstToken(server.ID, now); known {
 			extension = max(extension, min(silent-ago, maxServing))
 		}
 		if shared {
--- a/daemon/gateway/silence_test.go
+++ b/daemon/gateway/silence_test.go
@@ -81,9 +81,9 @@
 						return
 					case <-tick.C:
 						id := schedule.ID{Host: 9, Number: n}
-						f.board.AddRemote(schedule.Placement{ID: id, Lead: fmt.Sprintf("e%d", n%2)})
-						f.board.RecordStart(id, clock.Now())
-						f.board.RecordEnd(id)
+						f.scheduler.AddRemote(schedule.Placement{ID: id, Lead: fmt.Sprintf("e%d", n%2)})
+						f.scheduler.RecordStart(id, clock.Now())
+						f.scheduler.RecordEnd(id)
 					}
 				}
 			})
--- a/daemon/gateway/stream.go
+++ b/daemon/gateway/stream.go
@@ -36,7 +36,7 @@
 		now := time.Now()
 		if c.headSent {
 			c.maxPause = max(c.maxPause, now.Sub(last))
-			g.board.RecordPass(p.Lead, now.Sub(last), p.PassTime, g.clock.Now())
+			g.scheduler.RecordPass(p.Lead, now.Sub(last), p.PassTime, g.clock.Now())
 		}
 		last = now
 		if errors.Is(err, io.EOF) && len(e) == 0 {
@@ -49,7 +49,7 @@
 		}
 		if n == 0 {
 			out.firstEvent = time.Since(c.arrivedAt)
-			g.board.RecordStart(p.ID, g.clock.Now())
+			g.scheduler.RecordStart(p.ID, g.clock.Now())
 			g.onStarted(p.ID)
 		}
 		sendHead(w, c, a)
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -124,7 +124,7 @@
 		slog.Bool("apart", out.isolated), slog.Bool("replaced", replaced))
 	changes := g.quarantine.AddCrash(c.identity().Identity(), quarantine.Crash{
 		Server:   quarantine.ServerDigest(server.ID),
-		Reporter: g.board.Host(),
+		Reporter: g.scheduler.Host(),
 		Isolated: out.isolated,
 		// Without other hosts there are no witnesses, and nobody is misled by a report.
 		Confirmed: replaced || len(g.otherHosts()) == 0,
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -89,7 +89,7 @@
 	if refusal != nil {
 		return outcome{result: final, reason: refusal.reason, server: p.Lead, refusal: refusal}
 	}
-	defer g.board.RecordEnd(p.ID)
+	defer g.scheduler.RecordEnd(p.ID)
 	server, _ := s.Servers.Get(p.Lead)
 	g.onPlaced(p)
 	defer g.onEnded(p.ID)
@@ -119,14 +119,14 @@
 			refusal = g.admit(c, p)
 		}
 		if refusal != nil {
-			g.board.RecordEnd(p.ID)
+			g.scheduler.RecordEnd(p.ID)
 			return p, service, refusal
 		}
 		wait, ok := g.acquireGrant(ctx, c, s, p)
 		if ok {
 			return p, service, nil
 		}
-		g.board.RecordEnd(p.ID)
+		g.scheduler.RecordEnd(p.ID)
 		if n+1 >= maxGrantRequests {
 			return p, service, refuse(http.StatusServiceUnavailable, "server_limits", max(wait, otherHostRetryAfter))
 		}
@@ -165,7 +165,7 @@
 	var backoff time.Duration
 	switch {
 	case out.result == answered:
-		g.board.RecordAnswer(p.Service, p.Lead, false, now)
+		g.scheduler.RecordAnswer(p.Service, p.Lead, false, now)
 		g.clearSuspect(c)
 		return
 	case out.result == callerGone, out.result == final:
@@ -180,12 +180,12 @@
 	case out.reason == "not_allowed", out.reason == "out_of_time", !time.Now().Before(c.deadline):
 		return
 	case out.result == failed && out.answer != nil:
-		backoff = g.board.RecordAnswer(p.Service, blamed, true, now)
+		backoff = g.scheduler.RecordAnswer(p.Service, blamed, true, now)
 	default:
-		backoff = g.board.RecordFailure(blamed, now)
+		backoff = g.scheduler.RecordFailure(blamed, now)
 	}
 	if out.connBroken {
-		c.copiesFailed = c.copiesFailed || g.board.CopyCount(uint64(c.headHash)) > 1
+		c.copiesFailed = c.copiesFailed || g.scheduler.CopyCount(uint64(c.headHash)) > 1
 		g.findCrash(c, server, p.Helpers, out)
 	}
 	if backoff > 0 {
--- a/daemon/gateway/witness.go
+++ b/daemon/gateway/witness.go
@@ -68,10 +68,10 @@
 func (g *Gateway) isWitness(s backend.Server, crash quarantine.Crash) bool {
 	now := g.clock.Now()
 	hosts := slices.DeleteFunc(g.otherHosts(), func(h quarantine.Host) bool {
-		return h.Number != crash.Reporter && !g.board.HostAlive(h.Number, now)
+		return h.Number != crash.Reporter && !g.scheduler.HostAlive(h.Number, now)
 	})
-	hosts = append(hosts, quarantine.Host{Number: g.board.Host(), Hall: g.hall})
-	return slices.Contains(quarantine.Witnesses(crash.Server, s.Hall, crash.Reporter, hosts), g.board.Host())
+	hosts = append(hosts, quarantine.Host{Number: g.scheduler.Host(), Hall: g.hall})
+	return slices.Contains(quarantine.Witnesses(crash.Server, s.Hall, crash.Reporter, hosts), g.scheduler.Host())
 }
 
 // confirmCrash probes a server as a witness, and confirms the crash if the port is
