--- a/daemon/control/loop.go
+++ b/daemon/control/loop.go
@@ -49,8 +49,8 @@
 
 	// placeReply is the result of State.place.
 	placeReply struct {
-		now route.Offer
-		ok  bool
+		current route.Offer
+		ok      bool
 	}
 
 	// Option configures a Loop during construction.
@@ -178,10 +178,10 @@
 // restarted, the returned offer is empty.
 func (l *Loop) Place(ctx context.Context, attempt string, o route.Offer, p route.Prompt) (route.Offer, bool) {
 	r, _ := Ask(ctx, l, func(s *State) placeReply {
-		now, ok := s.place(attempt, o, p)
-		return placeReply{now, ok}
+		current, ok := s.place(attempt, o, p)
+		return placeReply{current, ok}
 	})
-	return r.now, r.ok
+	return r.current, r.ok
 }
 
 // AwaitGroup runs [State.AwaitGroup] on the owning goroutine.
--- a/daemon/control/owned.go
+++ b/daemon/control/owned.go
@@ -228,12 +228,12 @@
 	if !ok || o.record.Status != directory.Up || o.load.Load().Incarnation != offered.Incarnation {
 		return route.Offer{}, false
 	}
-	now := s.offer(o, p)
-	if !p.Reserved && float64(now.TimeToFirstToken()) > maxOfferFactor*float64(offered.TimeToFirstToken())+float64(maxOfferExcess) {
-		return now, false
+	current := s.offer(o, p)
+	if !p.Reserved && float64(current.TimeToFirstToken()) > maxOfferFactor*float64(offered.TimeToFirstToken())+float64(maxOfferExcess) {
+		return current, false
 	}
-	now.FairnessDelay = o.load.Place(attempt, p, s.now())
-	return now, true
+	current.FairnessDelay = o.load.Place(attempt, p, s.now())
+	return current, true
 }
 
 // offer returns the current offer of one owned engine.
--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -131,10 +131,10 @@
 }
 
 // MergeGossip merges the records received from another daemon.
-func (s *State) MergeGossip(n Gossip) {
-	s.MergeMembers(n.Members)
-	s.MergeEngines(n.Engines)
-	s.ObserveTemplateNumber(n.TemplateNumber)
+func (s *State) MergeGossip(g Gossip) {
+	s.MergeMembers(g.Members)
+	s.MergeEngines(g.Engines)
+	s.ObserveTemplateNumber(g.TemplateNumber)
 }
 
 // PeerInSync records that a randomly selected daemon has the same records.
--- a/daemon/dispatch/large.go
+++ b/daemon/dispatch/large.go
@@ -111,8 +111,8 @@
 func (x *run) runOnLead(ctx context.Context, attempt string, h *reservation, lead string) error {
 	v := x.loop.View()
 	o := route.Offer{Addr: lead, Incarnation: v.Incarnation(lead)}
-	if now, ok := x.recordPlacement(ctx, v, attempt, o, x.prompt.WithReserved()); ok {
-		o.FairnessDelay = now.FairnessDelay
+	if current, ok := x.recordPlacement(ctx, v, attempt, o, x.prompt.WithReserved()); ok {
+		o.FairnessDelay = current.FairnessDelay
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/daemon/dispatch/place.go
+++ b/daemon/dispatch/place.go
@@ -49,9 +49,9 @@
 	defer span.End()
 	best, err := x.choose(ctx, attempt)
 	for n := 1; err == nil; n++ {
-		now, ok := x.recordPlacement(ctx, x.loop.View(), attempt, best, x.prompt)
+		current, ok := x.recordPlacement(ctx, x.loop.View(), attempt, best, x.prompt)
 		if ok {
-			best.FairnessDelay = now.FairnessDelay
+			best.FairnessDelay = current.FairnessDelay
 		}
 		if ok || n == maxPlacementTries {
 			return best, nil
@@ -111,13 +111,13 @@
 // requestOffers concurrently requests offers from some of the engines' owners. If
 // there are none, because the owners don't answer or are too new to have data about
 // their engines, it falls back to the load reports of two engines.
-func (x *run) requestOffers(ctx context.Context, v *control.View, g *control.EngineSet) []route.Offer {
-	if g.Len() == 0 {
+func (x *run) requestOffers(ctx context.Context, v *control.View, engines *control.EngineSet) []route.Offer {
+	if engines.Len() == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	owners := x.sampleOwners(g)
+	owners := x.sampleOwners(engines)
 	replies := make(chan []route.Offer, len(owners))
 	for _, o := range owners {
 		x.background(func() { replies <- x.offersFromOwner(ctx, v, o) })
@@ -128,7 +128,7 @@
 	}
 	offers = slices.DeleteFunc(offers, func(o route.Offer) bool { return x.excluded[o.Addr] })
 	if len(offers) == 0 {
-		return x.offersFromReports(ctx, g)
+		return x.offersFromReports(ctx, engines)
 	}
 	return offers
 }
@@ -137,19 +137,19 @@
 // of the prompt's first block maps, so that prompts with equal prefixes are sent to
 // the same engine, and random others. It examines only a few engines, however many
 // there are.
-func (x *run) sampleOwners(g *control.EngineSet) []string {
+func (x *run) sampleOwners(engines *control.EngineSet) []string {
 	out := make([]string, 0, maxSampledOwners)
 	add := func(i int) {
-		c := g.At(i)
+		c := engines.At(i)
 		if c.Owner != "" && !x.excluded[c.Addr] && !slices.Contains(out, c.Owner) {
 			out = append(out, c.Owner)
 		}
 	}
 	if len(x.request.Chain) > 0 {
-		add(g.ByHash(x.request.Chain[0]))
+		add(engines.ByHash(x.request.Chain[0]))
 	}
-	if g.Len() <= maxSampledEngines {
-		for _, i := range rand.Perm(g.Len()) {
+	if engines.Len() <= maxSampledEngines {
+		for _, i := range rand.Perm(engines.Len()) {
 			if len(out) < maxSampledOwners {
 				add(i)
 			}
@@ -157,7 +157,7 @@
 		return out
 	}
 	for n := 0; n < maxSampledEngines && len(out) < maxSampledOwners; n++ {
-		add(rand.IntN(g.Len()))
+		add(rand.IntN(engines.Len()))
 	}
 	return out
 }
@@ -176,11 +176,11 @@
 
 // offersFromReports makes offers from the load reports, which lag, of two random
 // engines.
-func (x *run) offersFromReports(ctx context.Context, g *control.EngineSet) []route.Offer {
+func (x *run) offersFromReports(ctx context.Context, engines *control.EngineSet) []route.Offer {
 	x.metrics.Count("placed_without_owner_total", 1)
 	var out []route.Offer
 	for range maxFallbackTries {
-		addr := g.At(rand.IntN(g.Len())).Addr
+		addr := engines.At(rand.IntN(engines.Len())).Addr
 		if x.excluded[addr] || len(out) == 2 {
 			continue
 		}
@@ -210,11 +210,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	now, ok, err := x.peers.Place(ctx, owner, attempt, o, p)
+	current, ok, err := x.peers.Place(ctx, owner, attempt, o, p)
 	if err != nil {
 		return o, true
 	}
-	return now, ok
+	return current, ok
 }
 
 // refusal returns the fault for a request that no engine can serve in time. Its
--- a/daemon/dispatch/suspects.go
+++ b/daemon/dispatch/suspects.go
@@ -83,12 +83,12 @@
 
 // logChanges logs stage changes and removals of suspects.
 func (s *suspects) logChanges(changes []quarantine.Change) {
-	for _, k := range changes {
-		if k.Removed {
-			event.SuspectForgotten.Info("print", k.Record.Fingerprint, "workspace", k.Record.Workspace)
+	for _, change := range changes {
+		if change.Removed {
+			event.SuspectForgotten.Info("print", change.Record.Fingerprint, "workspace", change.Record.Workspace)
 			continue
 		}
-		event.SuspectChanged.Warn("print", k.Record.Fingerprint, "workspace", k.Record.Workspace, "stage", k.Stage, "ended", len(k.Record.Crashes))
+		event.SuspectChanged.Warn("print", change.Record.Fingerprint, "workspace", change.Record.Workspace, "stage", change.Stage, "ended", len(change.Record.Crashes))
 	}
 }
 
@@ -198,8 +198,8 @@
 func (x *run) placeSuspect(ctx context.Context, v *control.View, attempt, addr string) route.Offer {
 	o := route.Offer{Addr: addr, Incarnation: v.Incarnation(addr)}
 	x.recordChoice(Attempt{Attempt: attempt, Decision: route.Decision{Chosen: addr, Reason: "an engine has ended under the request"}})
-	if now, ok := x.recordPlacement(ctx, v, attempt, o, x.prompt); ok {
-		o.FairnessDelay = now.FairnessDelay
+	if current, ok := x.recordPlacement(ctx, v, attempt, o, x.prompt); ok {
+		o.FairnessDelay = current.FairnessDelay
 	}
 	return o
 }
--- a/daemon/dispatch/witness.go
+++ b/daemon/dispatch/witness.go
@@ -46,28 +46,28 @@
 // for which this daemon is a witness.
 func (d *Dispatcher) probeAsWitness(r quarantine.Record) {
 	v := d.loop.View()
-	for _, e := range r.Crashes {
-		if e.Confirmed {
+	for _, crash := range r.Crashes {
+		if crash.Confirmed {
 			continue
 		}
-		for _, g := range v.Engines {
-			if quarantine.ServerDigest(instanceID(g.Addr, g.Incarnation)) == e.Server && isWitness(v, g.Hall, e) {
-				d.background(func() { d.confirmCrash(g.Addr, e.Server) })
+		for _, e := range v.Engines {
+			if quarantine.ServerDigest(instanceID(e.Addr, e.Incarnation)) == crash.Server && isWitness(v, e.Hall, crash) {
+				d.background(func() { d.confirmCrash(e.Addr, crash.Server) })
 			}
 		}
 	}
 }
 
 // isWitness reports whether this daemon has to probe an engine in a hall to confirm
-// crash e.
-func isWitness(v *control.View, hall string, e quarantine.Crash) bool {
+// a crash.
+func isWitness(v *control.View, hall string, crash quarantine.Crash) bool {
 	var hosts []quarantine.Host
 	for _, m := range v.Members {
 		if m.Status == member.Alive || m.Status == member.Suspect {
 			hosts = append(hosts, quarantine.Host{Number: quarantine.ServerDigest(m.Addr), Hall: m.Hall})
 		}
 	}
-	return slices.Contains(quarantine.Witnesses(e.Server, hall, e.Reporter, hosts), quarantine.ServerDigest(v.Self.Addr))
+	return slices.Contains(quarantine.Witnesses(crash.Server, hall, crash.Reporter, hosts), quarantine.ServerDigest(v.Self.Addr))
 }
 
 // confirmCrash probes an engine. If its port is closed, it confirms the crash and
--- a/daemon/gateway/notices.go
+++ b/daemon/gateway/notices.go
@@ -37,7 +37,7 @@
 		return
 	}
 	if l, changed := g.notices.UpdateLimit(server.ID, l, c.sentAt, now); changed {
-		g.logLimit(ownEvidence, server.ID, l)
+		g.logLimit(ownReporter, server.ID, l)
 		g.noticeSender.SendLimit(server.ID, l)
 	}
 }
@@ -49,7 +49,7 @@
 		return
 	}
 	if leaving && g.notices.SetLeaving(server.ID, g.clock.Now()) {
-		g.log.Write(event.ServerSaysLeaving, slog.String("id", c.id), slog.String("server", server.ID), slog.String("by", ownEvidence))
+		g.log.Write(event.ServerSaysLeaving, slog.String("id", c.id), slog.String("server", server.ID), slog.String("by", ownReporter))
 		g.noticeSender.SendLeaving(server.ID)
 	}
 }
@@ -66,13 +66,13 @@
 	}
 }
 
-// ReceiveLeaving processes another host's report that a server is leaving. by
-// names that host.
-func (g *Gateway) ReceiveLeaving(by, server string) {
+// ReceiveLeaving processes the report of the host named reporter that a server is
+// leaving.
+func (g *Gateway) ReceiveLeaving(reporter, server string) {
 	if !g.notices.SetReportedLeaving(server, g.clock.Now()) {
 		return // each host that got such an answer reports it
 	}
-	g.log.Write(event.ServerSaysLeaving, slog.String("server", server), slog.String("by", by))
+	g.log.Write(event.ServerSaysLeaving, slog.String("server", server), slog.String("by", reporter))
 }
 
 // logUnreadable logs, once for each server, that a notice in an answer can't be parsed.
@@ -83,10 +83,10 @@
 	}
 }
 
-// ReceiveLimit merges a server's limit received from the host named by.
-func (g *Gateway) ReceiveLimit(by, server string, l notice.Limit) {
+// ReceiveLimit merges a server's limit received from the host named reporter.
+func (g *Gateway) ReceiveLimit(reporter, server string, l notice.Limit) {
 	if g.notices.MergeLimit(server, l, g.clock.Now()) {
-		g.logLimit(by, server, l)
+		g.logLimit(reporter, server, l)
 	}
 }
 
@@ -148,12 +148,12 @@
 // it is open.
 const maxGrantRequests = 3
 
-// logLimit logs and counts a new limit of a server. by names the host that has learned of
-// it, or is ownEvidence.
-func (g *Gateway) logLimit(by, server string, l notice.Limit) {
-	g.metrics.Count("gateway_server_limits", 1, "own", strconv.FormatBool(by == ownEvidence))
+// logLimit logs and counts a new limit of a server. reporter names the host that has
+// learned of it, or is ownReporter.
+func (g *Gateway) logLimit(reporter, server string, l notice.Limit) {
+	g.metrics.Count("gateway_server_limits", 1, "own", strconv.FormatBool(reporter == ownReporter))
 	g.log.Write(event.ServerLimit, slog.String("server", server), slog.Bool("limited", l.Limited),
-		slog.Float64("rate", l.Rate), slog.Uint64("version", l.Version), slog.String("by", by))
+		slog.Float64("rate", l.Rate), slog.Uint64("version", l.Version), slog.String("by", reporter))
 }
 
 // pruneNotices drops the notices of servers that no longer exist.
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -38,8 +38,8 @@
 	// blockedStatus tells a caller that the request itself is at fault and must not be
 	// sent again.
 	blockedStatus = http.StatusBadRequest
-	// ownEvidence stands in the log for this host as the source of evidence.
-	ownEvidence = "own"
+	// ownReporter stands in the log for this host as the reporter of a change.
+	ownReporter = "own"
 )
 
 // stage returns the quarantine stage of a call's request. The body is hashed only if a
@@ -129,7 +129,7 @@
 		// Without other hosts there are no witnesses, and nobody is misled by a report.
 		Confirmed: replaced || len(g.otherHosts()) == 0,
 	}, g.clock.Now())
-	g.logSuspectChanges(ownEvidence, changes)
+	g.logSuspectChanges(ownReporter, changes)
 	g.suspectsChanged() // other hosts must probe this server too, also if the stage is unchanged
 	return true
 }
@@ -167,29 +167,29 @@
 	return true
 }
 
-// MergeSuspects merges suspects received from the host named by. It reports whether
+// MergeSuspects merges suspects received from the host named reporter. It reports whether
 // the stage of any request has changed.
-func (g *Gateway) MergeSuspects(by string, rs []quarantine.Record) bool {
+func (g *Gateway) MergeSuspects(reporter string, rs []quarantine.Record) bool {
 	changed := false
 	for _, r := range rs {
 		if err := r.Validate(); err != nil {
-			g.log.Write(event.NewsLost, slog.String("by", by), slog.String("error", err.Error()))
+			g.log.Write(event.NewsLost, slog.String("by", reporter), slog.String("error", err.Error()))
 			continue
 		}
 		changes := g.quarantine.Merge(r, g.clock.Now())
-		g.logSuspectChanges(by, changes)
+		g.logSuspectChanges(reporter, changes)
 		changed = changed || len(changes) > 0
 		g.probeAsWitness(r)
 	}
 	return changed
 }
 
-// logSuspectChanges logs and counts stage changes. by names the host that has provided the
-// evidence, or is ownEvidence.
-func (g *Gateway) logSuspectChanges(by string, changes []quarantine.Change) {
+// logSuspectChanges logs and counts stage changes. reporter names the host that sent the
+// records, or is ownReporter.
+func (g *Gateway) logSuspectChanges(reporter string, changes []quarantine.Change) {
 	for _, change := range changes {
 		g.metrics.Count("gateway_suspects", 1, "stage", change.Stage.String())
-		if by != ownEvidence && change.Stage < quarantine.Serialized {
+		if reporter != ownReporter && change.Stage < quarantine.Serialized {
 			continue // the reporting host logs it; with 72 hosts each change would be logged 72 times
 		}
 		e := event.SuspectChanged
@@ -198,14 +198,14 @@
 		}
 		g.log.Write(e, slog.String("same", change.Record.HeadHash.String()), slog.String("print", change.Record.Fingerprint.String()),
 			slog.String("workspace", change.Record.Workspace), slog.String("stage", change.Stage.String()),
-			slog.Int("ended", len(change.Record.Crashes)), slog.String("by", by))
+			slog.Int("ended", len(change.Record.Crashes)), slog.String("by", reporter))
 	}
 }
 
 // updateSuspects expires suspects, and compares crashes with the platform's server
 // list.
 func (g *Gateway) updateSuspects(now time.Duration) {
-	g.logSuspectChanges(ownEvidence, g.quarantine.Expire(now))
+	g.logSuspectChanges(ownReporter, g.quarantine.Expire(now))
 	if !g.freshness.ConfigCurrent() {
 		return // the server list may be outdated
 	}
@@ -215,7 +215,7 @@
 	}
 	listing := func(s uint32) quarantine.Listing { return g.roster.Listing(s, now) }
 	changes := g.quarantine.Reconcile(listing, now)
-	g.logSuspectChanges(ownEvidence, changes)
+	g.logSuspectChanges(ownReporter, changes)
 	if slices.ContainsFunc(changes, func(change quarantine.Change) bool { return !change.Removed }) {
 		g.suspectsChanged()
 	}
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -81,8 +81,8 @@
 		refusal := g.refuseIfBlocked(c)
 		return outcome{result: final, reason: refusal.reason, refusal: refusal}
 	}
-	confined, waits := g.quarantine.Confined(c.workspace.Name, g.clock.Now())
-	if waits {
+	confined, paused := g.quarantine.Confined(c.workspace.Name, g.clock.Now())
+	if paused {
 		return outcome{result: final, reason: "workspace_ends_servers", refusal: refuse(http.StatusServiceUnavailable, "workspace_ends_servers", confinedRetryAfter)}
 	}
 	p, service, refusal := g.placeWithGrant(ctx, c, s, stage, confined)
@@ -93,12 +93,12 @@
 	server, _ := s.Servers.Get(p.Lead)
 	g.onPlaced(p)
 	defer g.onEnded(p.ID)
-	hold, err := g.reserveMemory(ctx, s, p)
+	reservation, err := g.reserveMemory(ctx, s, p)
 	if err != nil {
 		return outcome{result: unsent, reason: "memory_not_held", server: p.Lead, service: service.Name}
 	}
-	if hold != nil {
-		defer hold.Release()
+	if reservation != nil {
+		defer reservation.Release()
 	}
 	out := g.send(ctx, w, c, s, p, server)
 	out.server, out.service, out.isolated = p.Lead, service.Name, p.Isolated
@@ -147,12 +147,12 @@
 	if len(p.MemoryShares) == 0 || g.memory == nil {
 		return nil, nil
 	}
-	parts := make([]memory.Share, 0, len(p.MemoryShares))
+	shares := make([]memory.Share, 0, len(p.MemoryShares))
 	for _, share := range p.MemoryShares {
 		b, _ := s.Servers.Get(share.Server)
-		parts = append(parts, memory.Share{Addr: b.Addr, Tokens: share.Tokens})
+		shares = append(shares, memory.Share{Addr: b.Addr, Tokens: share.Tokens})
 	}
-	return g.memory.Reserve(ctx, reservationID(p.ID), parts)
+	return g.memory.Reserve(ctx, reservationID(p.ID), shares)
 }
 
 // reservationID returns the ID of a placement's memory reservations.
--- a/daemon/gateway/witness.go
+++ b/daemon/gateway/witness.go
@@ -85,6 +85,6 @@
 		return // another host has already confirmed it
 	}
 	g.log.Write(event.EndProved, slog.String("server", s.ID), slog.Int("requests", len(rs)))
-	g.logSuspectChanges(ownEvidence, changes)
+	g.logSuspectChanges(ownReporter, changes)
 	g.suspectsChanged()
 }
--- a/daemon/peers/convert.go
+++ b/daemon/peers/convert.go
@@ -100,9 +100,9 @@
 		Reserved:      p.Reserved,
 		BudgetMs:      uint32(max(0, p.Deadline.Sub(now).Milliseconds())),
 	}
-	for _, m := range p.PrefixHashes {
-		w.Marks = append(w.Marks, m.Hash)
-		w.Blocks = uint32(m.Blocks) // the last prefix is the longest
+	for _, h := range p.PrefixHashes {
+		w.Marks = append(w.Marks, h.Hash)
+		w.Blocks = uint32(h.Blocks) // the last prefix is the longest
 	}
 	return w
 }
--- a/daemon/watch/watch.go
+++ b/daemon/watch/watch.go
@@ -293,8 +293,8 @@
 	for _, h := range w.hosts {
 		s.Hosts = append(s.Hosts, h)
 	}
-	for _, k := range w.suspects {
-		s.Suspects = append(s.Suspects, k)
+	for _, suspect := range w.suspects {
+		s.Suspects = append(s.Suspects, suspect)
 	}
 	w.state.Store(s)
 	w.onHosts(s.Hosts)
