--- a/core/emulate/emulate.go
+++ b/core/emulate/emulate.go
@@ -31,7 +31,7 @@
 )
 
 // minSize and sizeRange spread the sizes of requests evenly over 0.3 to 1.7 times
-// their mean: as wide as half of the users' prompts.
+// their mean, a range that holds half of the prompts of the deployments.
 const minSize, sizeRange = 0.3, 1.4
 
 type (
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -7,7 +7,8 @@
 // be attributed to it. A suspect that is answered is cleared. A request that was
 // running during several crashes, at least one of them while it was isolated, is
 // blocked: it is refused without being run. A [Registry] stores one [Record] for each
-// suspect. It collects this host's own evidence and the records that other hosts send.
+// suspect. It merges the crashes that this host observes with the records that other
+// hosts send.
 // Merging records is commutative and idempotent, so that they may be lost, duplicated
 // and reordered on the way.
 //
@@ -59,7 +60,7 @@
 const (
 	// serializeAfterCrashes is the number of crashed servers after which only one copy
 	// of a request may run at a time, and blockAfterCrashes the number after which the
-	// request is blocked: three crashes per request are acceptable to the users.
+	// request is blocked: the requirements accept three crashes per request.
 	serializeAfterCrashes = 2
 	blockAfterCrashes     = 3
 	// minIsolatedCrashes is how many of these crashes must have happened while the
@@ -87,7 +88,7 @@
 	// crash, if it isn't the request's first. It covers the report to them, their
 	// probe and the reply on hosts with a fifth of a core: 154 ms on a host with
 	// five times as much work as it has processors for. Without this wait one request
-	// crashed five servers where four are acceptable to the users, and with proxies in
+	// crashed five servers, where the requirements accept four, and with proxies in
 	// front of the servers a fraction of 0.11 of the other requests that may run only
 	// once was lost (four hosts, twelve copies at once).
 	confirmationTimeout = 300 * time.Millisecond
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -24,7 +24,7 @@
 		Confirmed bool `json:"Proved"`
 	}
 
-	// Record holds the evidence against a suspect. It is an immutable value.
+	// Record holds the crashes recorded against a suspect. It is an immutable value.
 	Record struct {
 		_           struct{}    `cbor:",toarray"`
 		HeadHash    HeadHash    `json:"Mark"`
@@ -136,7 +136,7 @@
 
 func (c Crash) confirmed() bool { return c.Confirmed }
 
-// attributable reports whether the crash is evidence against this request rather than
+// attributable reports whether the crash counts against this request rather than
 // against others that were running on the server.
 func (c Crash) attributable() bool { return c.Confirmed && c.Isolated }
 
--- a/core/quarantine/registry.go
+++ b/core/quarantine/registry.go
@@ -17,8 +17,9 @@
 		Removed bool
 	}
 
-	// OwnRecord is the record of a suspect for which this host has evidence of its
-	// own, with the time since the record last changed.
+	// OwnRecord is the record of a suspect that this host has changed itself, by a
+	// crash that it observed or confirmed or by clearing the suspect, with the time
+	// since the last change.
 	OwnRecord struct {
 		Record Record
 		Age    time.Duration
@@ -34,9 +35,9 @@
 
 	suspect struct {
 		record       Record
-		changed      time.Duration   // when the record last changed or gained own evidence
+		changed      time.Duration   // when the record last changed or this host last recorded a crash in it
 		attributedAt []time.Duration // when each attributable crash became known
-		own          bool            // whether this host has evidence of its own
+		own          bool            // whether this host has changed the record itself
 		// reconciled reports that the current crashes need no further comparison with
 		// the server list. listedSince is when a server among them was first found
 		// on the list in this comparison, 0 if none was.
@@ -121,8 +122,8 @@
 }
 
 // merge merges a record into the suspect with its fingerprint, which it creates if
-// need be, and returns the resulting stage changes. own reports that the record is
-// this host's own evidence.
+// need be, and returns the resulting stage changes. own reports that the record
+// is an observation of this host.
 func (reg *Registry) merge(r Record, own bool, now time.Duration) []Change {
 	var changes []Change
 	s := reg.suspects[r.Fingerprint]
@@ -252,8 +253,8 @@
 	return changes
 }
 
-// OwnRecords returns the suspects for which this host has evidence of its own, which
-// it sends to other hosts. The most recently changed come first.
+// OwnRecords returns the records that this host has changed itself, which it sends to
+// other hosts. The most recently changed come first.
 func (reg *Registry) OwnRecords(now time.Duration) []OwnRecord {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
--- a/core/quarantine/roster.go
+++ b/core/quarantine/roster.go
@@ -150,7 +150,7 @@
 	if slices.Equal(r.Crashes, s.record.Crashes) {
 		return nil
 	}
-	return reg.update(s, r, false, now) // not own evidence: other hosts read the same list
+	return reg.update(s, r, false, now) // own is false, since other hosts read the same list
 }
 
 // dropRefuted drops the crashes of servers that still run according to the list.
--- a/core/quarantine/witness.go
+++ b/core/quarantine/witness.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxWitnesses is the number of hosts that probe a server which another host has found
-// closed. There are two so that one of them may be down or slow.
+// maxWitnesses is the number of hosts that probe a server whose port another host has
+// found closed. There are two so that one of them may be down or slow.
 const maxWitnesses = 2
 
 // Host is a host that may probe servers.
@@ -19,7 +19,7 @@
 }
 
 // Witnesses returns the numbers of the hosts that have to probe a server in a hall
-// after the host reporter has found it closed. These are other hosts of the same hall,
+// after the host reporter has found its port closed. These are other hosts of the same hall,
 // which reach the server even if the hall is cut off from the rest. If reporter is the
 // only host of the hall, they are chosen from all other hosts. If the hall has no hosts,
 // there are no witnesses, and only the platform's server list can confirm the crash.
--- a/core/schedule/choose.go
+++ b/core/schedule/choose.go
@@ -118,7 +118,7 @@
 			best.helpers = slices.Clone(p.helpers) // the next plan reuses the memory
 		}
 		if k == 1 && r.Isolated && best.fits {
-			break // without helpers, the request can end only one server
+			break // without helpers, the request can crash only one server
 		}
 		if k == 1 && best.harm == 0 && float64(best.firstToken) < soloObjectiveFraction*float64(r.Objective) {
 			break
--- a/core/schedule/cost.go
+++ b/core/schedule/cost.go
@@ -47,7 +47,7 @@
 
 // Value returns the value of a request relative to one of usual size: a base
 // value for each request, and a part proportional to its tokens. As in the
-// users' scores, a decoded token counts as ten prompt tokens.
+// scoring rules, a decoded token counts as ten prompt tokens.
 func Value(e *site.Engine, w Work) float64 {
 	usual := float64(e.UsualPrompt + decodedTokenWeight*e.UsualAnswer)
 	if usual <= 0 {
@@ -56,7 +56,7 @@
 	return baseValue + (1-baseValue)*float64(w.Prompt+decodedTokenWeight*w.Answer)/usual
 }
 
-// The weights of request sizes are those of the users' page on scores.
+// The weights of request sizes, as given by the scoring rules of the deployments.
 const (
 	decodedTokenWeight = 10
 	baseValue          = 0.3
--- a/core/schedule/displacement.go
+++ b/core/schedule/displacement.go
@@ -24,9 +24,9 @@
 	decodeValuePerSecond     = 5
 	// As the utilization of slots grows from scarceSlotUse to exhaustedSlotUse,
 	// slots become scarce: short streams then wait in a queue of one or two. With
-	// 0.8 to 0.9, the second of the users' sites lost 0.008 of the value served on
-	// days on which no workspace overloads it (20 simulated days each, timed from
-	// a caller's first attempt).
+	// 0.8 to 0.9, one deployment served 0.008 less of the requested value on days
+	// without an overloading workspace (20 simulated days each, timed from a
+	// caller's first attempt).
 	scarceSlotUse, exhaustedSlotUse = 0.85, 0.95
 )
 
--- a/core/schedule/isolation.go
+++ b/core/schedule/isolation.go
@@ -13,7 +13,7 @@
 // false if there is none at present.
 //
 // Copies of one request go to the same server while that has a free slot, so
-// that a request that ends its server ends one server and not one for each copy.
+// that a request that crashes its server crashes one server and not one for each copy.
 func (sc *Scheduler) leadCandidates(now time.Duration, available []*backend.Server, r Request) ([]*backend.Server, bool) {
 	if r.HeadHash == 0 {
 		return available, len(available) > 0
@@ -101,7 +101,7 @@
 
 // maxIsolatedFraction is the largest fraction of a service's servers that run
 // isolated requests of one workspace. Without a limit, a workspace that sends
-// several requests that end servers would end all servers with the retries.
+// several requests that crash servers would crash all servers by its retries.
 const maxIsolatedFraction = 0.25
 
 // isolatedCount returns the number of isolated requests on a server.
--- a/core/schedule/isolation_test.go
+++ b/core/schedule/isolation_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestCopiesShareServer places a request and then another one, which may be a copy
-// of it. Copies on different servers could end one server each.
+// of it. Copies on different servers could crash one server each.
 func TestCopiesShareServer(t *testing.T) {
 	first := Request{HeadHash: 7, Objective: time.Second}
 	for name, tc := range map[string]struct {
--- a/core/schedule/schedule_test.go
+++ b/core/schedule/schedule_test.go
@@ -12,7 +12,7 @@
 	"slipcrank.example/core/site"
 )
 
-// engine is the model of engines that the users publish.
+// engine is the published performance model of the engines.
 var engine = &site.Engine{
 	Slots: 16, Memory: 232_000, StepsPerPass: 43,
 	StepTime: 1020 * time.Microsecond, StepTimePerRequest: 2260 * time.Nanosecond, StepTimePerContext: 4310 * time.Nanosecond,
--- a/core/schedule/weights.go
+++ b/core/schedule/weights.go
@@ -37,8 +37,8 @@
 	// abandonLoss is what streams lose in addition to lateLoss by a pause so long
 	// that their callers leave.
 	abandonLoss = 1 - lateLoss
-	// abandonGaps is the length of that pause, in longest permitted pauses. The
-	// users state eight.
+	// abandonGaps is the length of that pause, as a multiple of the longest permitted
+	// pause. The requirements state eight.
 	abandonGaps = 8
 	// leadMargin is how much more than the cheapest engine another may cost to be
 	// drawn as lead, and maxLeadDraw the number of engines drawn from.
--- a/daemon/calls/once.go
+++ b/daemon/calls/once.go
@@ -52,7 +52,7 @@
 }
 
 // Run runs a call unless another request with the same key has run it, and returns its
-// answer or the stored answer of that request. Otherwise the fault tells what is known:
+// answer or the stored answer of that request. Otherwise the fault states what is known:
 // not_run (the call has not run, and never will under this key), undecided (this request
 // sent nothing, but the store has not confirmed that) or outcome_unknown (the call may
 // have run).
--- a/daemon/entry/suspects.go
+++ b/daemon/entry/suspects.go
@@ -49,15 +49,14 @@
 
 // mergeSuspects merges records of suspects from a sender. If each host has observed only
 // one of the crashes, a request becomes blocked on all of them only by merging, so any
-// host with evidence of its own then stores the record.
+// host that has changed the record itself then stores it.
 func (e *Entry) mergeSuspects(sender string, rs []quarantine.Record) {
 	if e.gateway.MergeSuspects(sender, rs) {
 		e.signalStore()
 	}
 }
 
-// sendSuspects sends the records of the suspects for which this host has evidence of its
-// own to other hosts. It is called on every tick of upkeep with the number of the tick, and
+// sendSuspects sends the records that this host has changed itself to other hosts. It is called on every tick of upkeep with the number of the tick, and
 // with 0 when suspects or hosts have changed.
 func (e *Entry) sendSuspects(tick int) {
 	var rs []quarantine.Record
@@ -117,7 +116,7 @@
 	return out
 }
 
-// storeSuspects writes blocked suspects for which this host has evidence of its own to the
+// storeSuspects writes blocked suspects whose records this host has changed itself to the
 // platform, and writes them again whenever they are cleared, until ctx ends. Each takes one
 // call, which is rare: a request has to crash three servers first.
 func (e *Entry) storeSuspects(ctx context.Context) {
--- a/daemon/gateway/dialect.go
+++ b/daemon/gateway/dialect.go
@@ -25,7 +25,7 @@
 	LastEventID string
 	// Urgency is the rank of the request at the backend server; 0 is the most urgent.
 	Urgency string
-	// Helpers lists the addresses of the servers that read parts of the prompt.
+	// Helpers lists the addresses of the servers that prefill parts of the prompt.
 	Helpers string
 	// TokenCounts is the number of prompt tokens and the maximum number of answer
 	// tokens, as "PROMPT,ANSWER".
--- a/daemon/gateway/gateway.go
+++ b/daemon/gateway/gateway.go
@@ -159,7 +159,8 @@
 // host is suspended.
 func WithClock(c *boottime.Clock) Option { return func(g *Gateway) { g.clock = c } }
 
-// WithMemory sets what reserves memory on backend servers.
+// WithMemory sets the reserver of memory on backend servers. Without it, no memory can
+// be reserved.
 func WithMemory(r *memory.Reserver) Option { return func(g *Gateway) { g.memory = r } }
 
 // New returns a gateway that places requests with scheduler, sends them through pool, and
--- a/daemon/gateway/request.go
+++ b/daemon/gateway/request.go
@@ -12,7 +12,7 @@
 
 const (
 	// maxInteractiveObjective is the maximum objective of interactive requests: those
-	// whose callers wait at a counter.
+	// for whose answers people wait.
 	maxInteractiveObjective = time.Second
 	// nonInteractiveOffset is added to the rank of all other requests. Operators'
 	// priorities range from 0 to 2, so interactive requests always rank first.
--- a/daemon/gateway/silence.go
+++ b/daemon/gateway/silence.go
@@ -22,12 +22,12 @@
 	predictedPauseFactor = 1.5
 	// maxServingObjectives bounds the extension, in objectives, for a server that is
 	// silent on this call but answers others. Short streams are then tried elsewhere
-	// before their callers disconnect, and long prompts are not read again from the
-	// beginning.
+	// before their callers disconnect, and long prompts are not prefilled again from
+	// the beginning.
 	maxServingObjectives = 2
 	// sharedFirstCheck bounds the time until the first check of a server whose prompt
 	// has memory reserved on other servers. If the server is gone, that memory must be
-	// released within 4 s, as users require. On a day with server crashes, a host that
+	// released within 4 s by the requirements. In a run with server crashes, a host that
 	// waited 4.0 s kept the memory for 4,033 ms.
 	sharedFirstCheck = 3 * time.Second
 	// sharedCheckInterval is the time between further checks. After maxProbeFailures
@@ -117,13 +117,13 @@
 
 // silenceExtension returns a function that computes by how much a silence may exceed
 // the first check. A silence is explained by the prompts that the server has yet to
-// read. It is also explained if the server has begun to answer other requests
+// prefill. It is also explained if the server has begun to answer other requests
 // meanwhile: the server is then alive, and the silence counts from that time, with an
 // extension of at most maxServingObjectives. The second rule is needed because engines
-// read parts of shared prompts out of order, so a prompt may wait for parts of others
-// that had not arrived when it was placed. Without the rule, on a day with 72 hosts,
+// prefill parts of shared prompts out of order, so a prompt may wait for parts of others
+// that had not arrived when it was placed. Without the rule, in a run with 72 hosts,
 // eight of about a hundred prompts of over 100,000 tokens were taken from engines that
-// were alive, and read from the beginning elsewhere. The mean score of ten runs was
+// were alive, and prefilled from the beginning elsewhere. The mean score of ten runs was
 // 0.765 without the rule and 0.777 with it.
 func (g *Gateway) silenceExtension(c *call, s State, p schedule.Placement, server backend.Server) func(silent time.Duration) time.Duration {
 	service, _ := s.Config.Service(p.Service)
--- a/daemon/gateway/suspects.go
+++ b/daemon/gateway/suspects.go
@@ -84,7 +84,7 @@
 
 // findCrash determines whether a server crashed when a call's connection broke.
 // Connections break for many reasons, such as resets, corrupted data or network
-// partitions; only a crash is evidence against the request. The lead's answer also
+// partitions; only a crash counts against the request. The lead's answer also
 // breaks if one of its helpers crashes.
 func (g *Gateway) findCrash(c *call, lead backend.Server, helpers []string, out outcome) {
 	if c.crashFound = g.recordCrash(c, lead, out); c.crashFound || len(helpers) == 0 {
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -158,8 +158,8 @@
 // reservationID returns the ID of a placement's memory reservations.
 func reservationID(id schedule.ID) string { return fmt.Sprintf("%x-%x", id.Host, id.Number) }
 
-// recordResult records evidence for and against the server. A call that ran out of
-// time, or that this host was no longer allowed to send, is no evidence.
+// recordResult records whether the server answered or failed. A call that ran out of
+// time, or that this host was no longer allowed to send, doesn't count as its failure.
 func (g *Gateway) recordResult(c *call, p schedule.Placement, server backend.Server, out outcome) {
 	now := g.clock.Now()
 	var backoff time.Duration
--- a/daemon/gateway/witness.go
+++ b/daemon/gateway/witness.go
@@ -39,7 +39,7 @@
 // WithHosts sets the function that returns the other hosts in the platform's list.
 func WithHosts(f func() []quarantine.Host) Option { return func(g *Gateway) { g.otherHosts = f } }
 
-// probeAsWitness starts probes of the servers that another host has found closed, if
+// probeAsWitness starts probes of the servers whose ports another host has found closed, if
 // this host is one of the witnesses. It doesn't wait for the results.
 func (g *Gateway) probeAsWitness(r quarantine.Record) {
 	for _, crash := range r.Crashes {
@@ -63,8 +63,8 @@
 	return backend.Server{}, false
 }
 
-// isWitness reports whether this host is a witness of a crash. Only hosts that were
-// heard from recently are considered.
+// isWitness reports whether this host is a witness of a crash. Only hosts from
+// which a message has arrived recently are considered.
 func (g *Gateway) isWitness(s backend.Server, crash quarantine.Crash) bool {
 	now := g.clock.Now()
 	hosts := slices.DeleteFunc(g.otherHosts(), func(h quarantine.Host) bool {
--- a/daemon/watch/watch.go
+++ b/daemon/watch/watch.go
@@ -102,7 +102,8 @@
 	// Host is another host of the site.
 	Host struct {
 		Name string `json:"-"`
-		// Addr is an IP address and a port, for news and relayed updates.
+		// Addr is an IP address and a port, UDP for updates about placements and TCP
+		// for relayed tables.
 		Addr string `json:"addr"`
 		Hall string `json:"hall"`
 		// Link is the bandwidth of its network link in Mbit/s, 0 if unknown.
