--- a/core/broadcast/broadcast.go
+++ b/core/broadcast/broadcast.go
@@ -34,8 +34,9 @@
 	// rankKey is the key by which the hosts of a hall are ranked.
 	rankKey = "forwarders"
 	// forwarderTimeout is how long a forwarder may send nothing to a host that sends it
-	// updates: 30 times the interval between its batches, and longer than the interval
-	// at which every host of its hall sends at least a heartbeat.
+	// updates: 30 times the interval between its batches, and longer than the time
+	// without updates after which each host of its hall sends a heartbeat, which the
+	// forwarder forwards.
 	forwarderTimeout = 600 * time.Millisecond
 	// retryDelay is how long a silent forwarder is excluded. Each retry loses the
 	// updates of one forwarderTimeout.
