--- a/core/schedule/schedule_test.go
+++ b/core/schedule/schedule_test.go
@@ -12,7 +12,7 @@
 	"slipcrank.example/core/site"
 )
 
-// engine is the model of engines that the users publish.
+// engine is the published performance model of the engines.
 var engine = &site.Engine{
 	Slots: 16, Memory: 232_000, StepsPerPass: 43,
 	StepTime: 1020 * time.Microsecond, StepTimePerRequest: 2260 * time.Nanosecond, StepTimePerContext: 4310 * time.Nanosecond,
@@ -184,8 +184,8 @@
 			}
 			r := long
 			r.Work.Prompt = 230_000
-			if p := place(t, sc, ss, r); (p.DisplacementRatio > 1) != tc.displaces {
-				t.Errorf("the request displaces %.2f times its value", p.DisplacementRatio)
+			if p := place(t, sc, ss, r); (p.DisplacedRatio > 1) != tc.displaces {
+				t.Errorf("the request displaces %.2f times its value", p.DisplacedRatio)
 			}
 		})
 	}
--- a/daemon/gateway/try.go
+++ b/daemon/gateway/try.go
@@ -81,24 +81,24 @@
 		refusal := g.refuseIfBlocked(c)
 		return outcome{result: final, reason: refusal.reason, refusal: refusal}
 	}
-	confined, waits := g.quarantine.Confined(c.workspace.Name, g.clock.Now())
-	if waits {
+	confined, paused := g.quarantine.Confined(c.workspace.Name, g.clock.Now())
+	if paused {
 		return outcome{result: final, reason: "workspace_ends_servers", refusal: refuse(http.StatusServiceUnavailable, "workspace_ends_servers", confinedRetryAfter)}
 	}
 	p, service, refusal := g.placeWithGrant(ctx, c, s, stage, confined)
 	if refusal != nil {
 		return outcome{result: final, reason: refusal.reason, server: p.Lead, refusal: refusal}
 	}
-	defer g.board.RecordEnd(p.ID)
+	defer g.scheduler.RecordEnd(p.ID)
 	server, _ := s.Servers.Get(p.Lead)
 	g.onPlaced(p)
 	defer g.onEnded(p.ID)
-	hold, err := g.reserveMemory(ctx, s, p)
+	reservation, err := g.reserveMemory(ctx, s, p)
 	if err != nil {
 		return outcome{result: unsent, reason: "memory_not_held", server: p.Lead, service: service.Name}
 	}
-	if hold != nil {
-		defer hold.Release()
+	if reservation != nil {
+		defer reservation.Release()
 	}
 	out := g.send(ctx, w, c, s, p, server)
 	out.server, out.service, out.isolated = p.Lead, service.Name, p.Isolated
@@ -119,14 +119,14 @@
 			refusal = g.admit(c, p)
 		}
 		if refusal != nil {
-			g.board.RecordEnd(p.ID)
+			g.scheduler.RecordEnd(p.ID)
 			return p, service, refusal
 		}
 		wait, ok := g.acquireGrant(ctx, c, s, p)
 		if ok {
 			return p, service, nil
 		}
-		g.board.RecordEnd(p.ID)
+		g.scheduler.RecordEnd(p.ID)
 		if n+1 >= maxGrantRequests {
 			return p, service, refuse(http.StatusServiceUnavailable, "server_limits", max(wait, otherHostRetryAfter))
 		}
@@ -147,25 +147,25 @@
 	if len(p.MemoryShares) == 0 || g.memory == nil {
 		return nil, nil
 	}
-	parts := make([]memory.Share, 0, len(p.MemoryShares))
+	shares := make([]memory.Share, 0, len(p.MemoryShares))
 	for _, share := range p.MemoryShares {
 		b, _ := s.Servers.Get(share.Server)
-		parts = append(parts, memory.Share{Addr: b.Addr, Tokens: share.Tokens})
+		shares = append(shares, memory.Share{Addr: b.Addr, Tokens: share.Tokens})
 	}
-	return g.memory.Reserve(ctx, reservationID(p.ID), parts)
+	return g.memory.Reserve(ctx, reservationID(p.ID), shares)
 }
 
 // reservationID returns the ID of a placement's memory reservations.
 func reservationID(id schedule.ID) string { return fmt.Sprintf("%x-%x", id.Host, id.Number) }
 
-// recordResult records evidence for and against the server. A call that ran out of
-// time, or that this host was no longer allowed to send, is no evidence.
+// recordResult records whether the server answered or failed. A call that ran out of
+// time, or that this host was no longer allowed to send, doesn't count as its failure.
 func (g *Gateway) recordResult(c *call, p schedule.Placement, server backend.Server, out outcome) {
 	now := g.clock.Now()
 	var backoff time.Duration
 	switch {
 	case out.result == answered:
-		g.board.RecordAnswer(p.Service, p.Lead, false, now)
+		g.scheduler.RecordAnswer(p.Service, p.Lead, false, now)
 		g.clearSuspect(c)
 		return
 	case out.result == callerGone, out.result == final:
@@ -180,12 +180,12 @@
 	case out.reason == "not_allowed", out.reason == "out_of_time", !time.Now().Before(c.deadline):
 		return
 	case out.result == failed && out.answer != nil:
-		backoff = g.board.RecordAnswer(p.Service, blamed, true, now)
+		backoff = g.scheduler.RecordAnswer(p.Service, blamed, true, now)
 	default:
-		backoff = g.board.RecordFailure(blamed, now)
+		backoff = g.scheduler.RecordFailure(blamed, now)
 	}
 	if out.connBroken {
-		c.copiesFailed = c.copiesFailed || g.board.CopyCount(uint64(c.headHash)) > 1
+		c.copiesFailed = c.copiesFailed || g.scheduler.CopyCount(uint64(c.headHash)) > 1
 		g.findCrash(c, server, p.Helpers, out)
 	}
 	if backoff > 0 {
--- a/daemon/gateway/witness.go
+++ b/daemon/gateway/witness.go
@@ -39,7 +39,7 @@
 // WithHosts sets the function that returns the other hosts in the platform's list.
 func WithHosts(f func() []quarantine.Host) Option { return func(g *Gateway) { g.otherHosts = f } }
 
-// probeAsWitness starts probes of the servers that another host has found closed, if
+// probeAsWitness starts probes of the servers whose ports another host has found closed, if
 // this host is one of the witnesses. It doesn't wait for the results.
 func (g *Gateway) probeAsWitness(r quarantine.Record) {
 	for _, crash := range r.Crashes {
@@ -63,15 +63,15 @@
 	return backend.Server{}, false
 }
 
-// isWitness reports whether this host is a witness of a crash. Only hosts that were
-// heard from recently are considered.
+// isWitness reports whether this host is a witness of a crash. Only hosts from
+// which a message has arrived recently are considered.
 func (g *Gateway) isWitness(s backend.Server, crash quarantine.Crash) bool {
 	now := g.clock.Now()
 	hosts := slices.DeleteFunc(g.otherHosts(), func(h quarantine.Host) bool {
-		return h.Number != crash.Reporter && !g.board.HostAlive(h.Number, now)
+		return h.Number != crash.Reporter && !g.scheduler.HostAlive(h.Number, now)
 	})
-	hosts = append(hosts, quarantine.Host{Number: g.board.Host(), Hall: g.hall})
-	return slices.Contains(quarantine.Witnesses(crash.Server, s.Hall, crash.Reporter, hosts), g.board.Host())
+	hosts = append(hosts, quarantine.Host{Number: g.scheduler.Host(), Hall: g.hall})
+	return slices.Contains(quarantine.Witnesses(crash.Server, s.Hall, crash.Reporter, hosts), g.scheduler.Host())
 }
 
 // confirmCrash probes a server as a witness, and confirms the crash if the port is
@@ -85,6 +85,6 @@
 		return // another host has already confirmed it
 	}
 	g.log.Write(event.CrashConfirmed, slog.String("server", s.ID), slog.Int("requests", len(rs)))
-	g.logSuspectChanges(ownEvidence, changes)
+	g.logSuspectChanges(ownReporter, changes)
 	g.suspectsChanged()
 }
--- a/daemon/watch/watch.go
+++ b/daemon/watch/watch.go
@@ -102,7 +102,8 @@
 	// Host is another host of the site.
 	Host struct {
 		Name string `json:"-"`
-		// Addr is an IP address and a port, for news and relayed updates.
+		// Addr is an IP address and a port, UDP for updates about placements and TCP
+		// for relayed tables.
 		Addr string `json:"addr"`
 		Hall string `json:"hall"`
 		// Link is the bandwidth of its network link in Mbit/s, 0 if unknown.
@@ -293,8 +294,8 @@
 	for _, h := range w.hosts {
 		s.Hosts = append(s.Hosts, h)
 	}
-	for _, k := range w.suspects {
-		s.Suspects = append(s.Suspects, k)
+	for _, suspect := range w.suspects {
+		s.Suspects = append(s.Suspects, suspect)
 	}
 	w.state.Store(s)
 	w.onHosts(s.Hosts)
