--- a/daemon/control/state.go
+++ b/daemon/control/state.go
@@ -101,7 +101,7 @@
 }
 
 // Tick declares members dead whose suspicion has timed out, and removes engines
-// that have been down for [directory.DownLife].
+// that have been down for [directory.DownRetention].
 func (s *State) Tick() {
 	members, engines := s.members.Tick(s.now()), s.engines.Tick(s.now())
 	s.dirty = s.dirty || members || engines
